--- a/group/agent.go
+++ b/group/agent.go
@@ -17,121 +17,130 @@
 )
 
 const (
-	// pollBusy is how often the engine is read while it steps: about once a step, which takes some 80 ms.
-	pollBusy = 60 * time.Millisecond
-	// pollIdle is how often it is read while it doesn't.
-	pollIdle = 250 * time.Millisecond
-	// orderTime is how long an order is tried before the leader has to give it again; a copy takes some 400 ms.
-	orderTime = 2 * time.Second
-	// orderPoll is the pause between two looks at the engine while an order waits for it.
-	orderPoll = 10 * time.Millisecond
-	// timePerCount keeps what one rank counts within 8 KB a second: a leader's link of 8 Mbit/s takes that of many ranks.
-	timePerCount = 125 * time.Microsecond
-	// lossyTime is how long an order without an answer makes one expect more of them.
-	lossyTime = 5 * time.Second
-	// slowPace is how many times its usual time an engine takes for a step from which it counts as slow: what batches and long prompts cost
-	// is within the usual time, and one slow rank makes the whole group as slow.
-	slowPace = 1.5
-	// suspendedAfter is how much longer than asked for a pause lasts after which this process says that its machine stood still: several times
-	// what a busy machine keeps a process waiting.
-	suspendedAfter = time.Second
-	// refusals is how often an engine may refuse an order that its state allows before the leader is told that it doesn't fit.
-	refusals = 3
+	// busyPollInterval applies while the engine is stepping: about one read per step of some 80 ms.
+	busyPollInterval = 60 * time.Millisecond
+	// idlePollInterval applies while the engine is idle.
+	idlePollInterval = 250 * time.Millisecond
+	// orderTimeout bounds the attempts at one order, after which the leader has to resend it; a
+	// copy takes about 400 ms.
+	orderTimeout = 2 * time.Second
+	// orderPollInterval is the pause between two reads of the engine while an order waits for it.
+	orderPollInterval = 10 * time.Millisecond
+	// countsIntervalPerCount limits the counts that a rank sends to 8 KB/s, so that those of many
+	// ranks fit the leader's link of 8 Mbit/s.
+	countsIntervalPerCount = 125 * time.Microsecond
+	// lossyWindow is how long after an unanswered order more of them are expected.
+	lossyWindow = 5 * time.Second
+	// slowLogPace is the ratio of an engine's step time to its usual step time from which the
+	// engine is logged as slow. The usual time includes the cost of batches and long prompts; one
+	// slow rank slows down the whole group.
+	slowLogPace = 1.5
+	// suspendThreshold is the overrun of a pause from which the machine is logged as suspended:
+	// several times the scheduling delay on a busy machine.
+	suspendThreshold = time.Second
+	// maxRefusals is how often an engine may refuse an order that its state allows before the
+	// leader gets a mismatch as its answer.
+	maxRefusals = 3
 )
 
 var (
-	ordersGiven      = expvar.NewInt("engine_orders")
-	ordersUnanswered = expvar.NewInt("engine_orders_unanswered")
-	holdsEnded       = expvar.NewInt("engine_holds_ended_unwanted")
+	ordersSent         = expvar.NewInt("engine_orders")
+	ordersUnanswered   = expvar.NewInt("engine_orders_unanswered")
+	orphanedHoldsEnded = expvar.NewInt("engine_holds_ended_unwanted")
 )
 
-// Agent is the part beside one rank.
+// Agent guards the engine of one rank and reports the engine's state to the group's leader.
 type Agent struct {
 	Engine Engine
 	Clock  clockwork.Clock
 	Log    hclog.Logger
 
-	// ordering is held while the engine is read for an order and given it, so that one order is under way at a time.
-	ordering sync.Mutex
-	guard    shift.Guard
-	// born is the newest start of the engine that was seen, held under ordering.
-	born int64
-	// lossAt is when an order last got no answer.
-	lossAt time.Time
+	// orderMu serializes orders: it is held from reading the engine's state until the order is
+	// sent.
+	orderMu sync.Mutex
+	guard   shift.Guard
+	// engineStart is the newest start of the engine observed, in Unix milliseconds; guarded by
+	// orderMu.
+	engineStart int64
+	// unansweredAt is when the engine last failed to answer an order.
+	unansweredAt time.Time
 
 	mu     sync.Mutex
 	report Report
 	known  bool
-	// slow is true while the engine takes longer than usual for a step.
+	// slow reports whether the engine's steps take longer than usual.
 	slow bool
-	// counts is how many counts the engine has.
-	counts int
-	// tally is what the leader has not been told yet of counts, toldAt when it last was; urgent is true once popularity has turned since.
-	tally  place.Tally
-	toldAt time.Time
-	urgent bool
-	// packer is that of rank packed.
-	packer *place.Packer
-	packed int
-	// leader is the link of the newest leader, with its fence; heard is when it last spoke.
-	leader *wire.Link
-	fence  int64
-	heard  time.Time
-	// links are all leaders' links, old ones included.
+	// countsLen is the number of counts that the engine returns.
+	countsLen int
+	// tally holds the counts not sent to the leader yet; countsSentAt is when counts were last
+	// sent; urgent is set once expert popularity has shifted since then.
+	tally        place.Tally
+	countsSentAt time.Time
+	urgent       bool
+	// packer packs counts for rank packerRank.
+	packer     *place.Packer
+	packerRank int
+	// leader is the link of the newest leader and fence its fencing token; leaderSeenAt is when the
+	// leader last sent anything.
+	leader       *wire.Link
+	fence        int64
+	leaderSeenAt time.Time
+	// links holds the links of all leaders, including replaced ones.
 	links map[*wire.Link]bool
-	// underway keeps a repeated order from being tried twice at once.
-	underway map[shift.Order]bool
-	// maps are the newest maps that orders named.
-	maps maps
-	// copying is the version that the engine was told to prepare.
-	copying int64
+	// inFlight keeps a resent order from being executed twice at the same time.
+	inFlight map[shift.Order]bool
+	// mapCache holds the newest maps received with orders.
+	mapCache mapCache
+	// preparing is the map version that the engine was last ordered to prepare.
+	preparing int64
 }
 
-// NewAgent returns an agent that has seen nothing.
+// NewAgent returns an agent that has not read its engine yet.
 func NewAgent(e Engine, clock clockwork.Clock, log hclog.Logger) *Agent {
 	return &Agent{
-		Engine:   e,
-		Clock:    clock,
-		Log:      log,
-		heard:    clock.Now(),
-		links:    make(map[*wire.Link]bool),
-		underway: make(map[shift.Order]bool),
-		copying:  shift.None,
+		Engine:       e,
+		Clock:        clock,
+		Log:          log,
+		leaderSeenAt: clock.Now(),
+		links:        make(map[*wire.Link]bool),
+		inFlight:     make(map[shift.Order]bool),
+		preparing:    shift.None,
 	}
 }
 
-// Run reads the engine until ctx ends and tells the leader of it.
+// Run polls the engine until ctx ends and reports its state to the leader.
 func (a *Agent) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := pollIdle
+		wait := idlePollInterval
 		if a.poll(ctx) {
-			wait = pollBusy
+			wait = busyPollInterval
 		}
-		a.rest(ctx, wait)
+		a.pause(ctx, wait)
 	}
 }
 
-// rest pauses and says so when the machine stood still meanwhile: the engine beside, which stood still as well, keeps what it had taken in
-// until then. The steady clock doesn't count while a machine is suspended, the time of day jumps when it is set.
-func (a *Agent) rest(ctx context.Context, wait time.Duration) {
+// pause waits and logs a warning if the machine was suspended meanwhile: the engine was suspended
+// as well and still holds the requests that it had accepted. The monotonic clock stops while a
+// machine is suspended; the wall clock jumps when it is set.
+func (a *Agent) pause(ctx context.Context, wait time.Duration) {
 	before := a.Clock.Now()
 	retry.Pause(ctx, wait)
 	now := a.Clock.Now()
 	steady := now.Sub(before)
 	daytime := now.Round(0).Sub(before.Round(0))
-	if max(steady, daytime) > wait+suspendedAfter {
-		a.Log.Warn("machine stood still, or its time was set", "steady", steady.String(), "daytime", daytime.String())
+	if max(steady, daytime) > wait+suspendThreshold {
+		a.Log.Warn("machine was suspended or its clock was set", "steady", steady.String(), "daytime", daytime.String())
 	}
 }
 
-// poll reads the engine once and returns true while it steps.
+// poll reads the engine once and reports whether it is stepping or has requests running.
 func (a *Agent) poll(ctx context.Context) bool {
-	a.ordering.Lock()
-	rep, err := a.look(ctx)
+	a.orderMu.Lock()
+	rep, err := a.readReport(ctx)
 	fence := a.guard.Fence
-	a.ordering.Unlock()
+	a.orderMu.Unlock()
 	if err != nil {
-		a.lost(err)
+		a.markUnreadable(err)
 		return false
 	}
 	a.mu.Lock()
@@ -141,95 +150,96 @@
 	if stepped {
 		if counts, err := a.Engine.Counts(ctx); err == nil {
 			a.mu.Lock()
-			a.counts = len(counts)
+			a.countsLen = len(counts)
 			a.urgent = a.tally.Add(counts) || a.urgent
 			a.mu.Unlock()
 		}
 	}
-	a.keep(rep)
-	a.tell()
+	a.storeReport(rep)
+	a.sendState()
 	return stepped || rep.Running > 0
 }
 
-// look reads the engine's state and lets go of what nobody wants held; the caller holds ordering.
-func (a *Agent) look(ctx context.Context) (Report, error) {
+// readReport reads the engine's state and releases an orphaned hold. The caller holds orderMu.
+func (a *Agent) readReport(ctx context.Context) (Report, error) {
 	rep, err := a.Engine.Report(ctx)
 	if err != nil {
 		return rep, err
 	}
-	if err := a.meet(rep); err != nil {
+	if err := a.checkStart(rep); err != nil {
 		return rep, err
 	}
 	a.guard.Observe(rep.State)
-	step := a.guard.Unwanted(rep.State)
+	step := a.guard.OrphanedHold(rep.State)
 	if step == shift.None {
 		return rep, nil
 	}
-	holdsEnded.Add(1)
-	a.Log.Warn("ending a hold that nobody wants", "step", step, "epoch", rep.Epoch)
-	if _, err := a.do(ctx, shift.Order{Op: shift.OpGo, Epoch: rep.Epoch, Step: step}, nil); err != nil {
+	orphanedHoldsEnded.Add(1)
+	a.Log.Warn("releasing an orphaned hold", "step", step, "epoch", rep.Epoch)
+	if _, err := a.execute(ctx, shift.Order{Op: shift.OpGo, Epoch: rep.Epoch, Step: step}, nil); err != nil {
 		return rep, err
 	}
 	return a.Engine.Report(ctx)
 }
 
-func (a *Agent) do(ctx context.Context, o shift.Order, layout [][][]int) (bool, error) {
-	ordersGiven.Add(1)
+func (a *Agent) execute(ctx context.Context, o shift.Order, layout [][][]int) (bool, error) {
+	ordersSent.Add(1)
 	done, err := a.Engine.Do(ctx, o, layout)
 	if err != nil {
 		ordersUnanswered.Add(1)
 		if o.Op != shift.OpPrepare {
-			// Nothing waits for a copy that begins late, so that its orders say nothing of how far ahead a hold has to lie.
-			a.lossAt = a.Clock.Now()
+			// A lost prepare order stalls no step, so it does not affect how far ahead holds must
+			// lie.
+			a.unansweredAt = a.Clock.Now()
 		}
-		a.Log.Warn("order unanswered, it may be carried out later", "op", o.Op.String(), "version", o.Version, "step", o.Step, "error", err)
+		a.Log.Warn("engine did not answer an order, which may still be executed", "op", o.Op.String(), "version", o.Version, "step", o.Step, "error", err)
 	}
 	return done, err
 }
 
-func (a *Agent) lost(err error) {
+func (a *Agent) markUnreadable(err error) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.known {
-		a.Log.Warn("engine can't be read", "error", err)
+		a.Log.Warn("cannot read the engine's state", "error", err)
 	}
 	a.known = false
 }
 
-func (a *Agent) keep(rep Report) {
+func (a *Agent) storeReport(rep Report) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.known || rep.Epoch != a.report.Epoch || rep.Open != a.report.Open {
-		a.Log.Info("rank", "group", rep.Group, "rank", rep.Rank, "size", rep.Size, "epoch", rep.Epoch, "open", rep.Open, "map", rep.Map)
+		a.Log.Info("rank state changed", "group", rep.Group, "rank", rep.Rank, "size", rep.Size, "epoch", rep.Epoch, "open", rep.Open, "map", rep.Map)
 	}
-	if slow := rep.Pace >= slowPace; slow != a.slow {
+	if slow := rep.Pace >= slowLogPace; slow != a.slow {
 		a.slow = slow
-		a.Log.Info("engine's pace", "slow", slow, "pace", rep.Pace, "step", rep.Step)
+		a.Log.Info("engine pace changed", "slow", slow, "pace", rep.Pace, "step", rep.Step)
 	}
 	a.report = rep
 	a.known = true
 }
 
-// Report returns the newest state read; known is false while the engine can't be read.
+// Report returns the newest state read; known is false while the engine cannot be read.
 func (a *Agent) Report() (rep Report, known bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.report, a.known
 }
 
-// tell sends the newest state to the leader.
-func (a *Agent) tell() {
+// sendState sends the newest state to the leader.
+func (a *Agent) sendState() {
 	a.mu.Lock()
 	l := a.leader
-	f := a.frame(a.report)
+	f := a.stateFrame(a.report)
 	now := a.Clock.Now()
 	if l == nil {
-		// Whoever leads next needs to know what is chosen then.
+		// The next leader needs counts from its own term only.
 		a.tally.Take()
 	}
-	if l != nil && (a.urgent || now.Sub(a.toldAt) >= time.Duration(a.counts)*timePerCount) {
-		a.pack(f)
-		a.toldAt = now
+	if l != nil && (a.urgent || now.Sub(a.countsSentAt) >= time.Duration(a.countsLen)*countsIntervalPerCount) {
+		a.packCounts(f)
+		a.countsSentAt = now
 		a.urgent = false
 	}
 	a.mu.Unlock()
@@ -238,9 +248,9 @@
 	}
 }
 
-func (a *Agent) frame(rep Report) *proto.GroupRank {
+func (a *Agent) stateFrame(rep Report) *proto.GroupRank {
 	return &proto.GroupRank{
-		Born:      rep.Born,
+		Born:      rep.EngineStart,
 		Group:     rep.Group,
 		Epoch:     rep.Epoch,
 		Rank:      rep.Rank,
@@ -256,14 +266,14 @@
 	}
 }
 
-// Serve takes a leader's orders from a link until it ends.
+// Serve handles a leader's orders from a link until the link ends.
 func (a *Agent) Serve(l *wire.Link) {
 	a.mu.Lock()
 	a.links[l] = true
 	a.mu.Unlock()
 	_ = l.Receive(func(f *proto.Frame) {
 		if o := f.RankOrder; o != nil {
-			a.take(l, o)
+			a.handleOrder(l, o)
 		}
 	})
 	a.mu.Lock()
@@ -274,7 +284,7 @@
 	}
 }
 
-// Close ends the links of leaders, as the end of the process would.
+// Close closes the links of all leaders, as the end of the process would.
 func (a *Agent) Close() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/group/change.go
+++ b/group/change.go
@@ -5,24 +5,25 @@
 	"slices"
 )
 
-// The edits of a change, as they stand before the place that they name.
+// Kinds of edits in an encoded change. The index of an edit refers to the row in the base layout.
 const (
 	editReplace = iota
 	editAdd
 	editRemove
-	edits
+	editKinds
 )
 
-// changeBetween packs what next differs in from base, which has as many sets and ranks and lists experts in rising order, as next does. It
-// takes some four bytes for each expert that a rank takes over: a leader tells every rank all of it, since engines take whole maps.
-func changeBetween(base, next [][][]int) []byte {
+// encodeChange encodes the difference between base and next, which must have the same sets and
+// ranks and list experts in ascending order. It takes about four bytes for each expert that a rank
+// takes over. The leader sends every rank the complete change, since engines take whole maps.
+func encodeChange(base, next [][][]int) []byte {
 	var out []byte
 	last := 0
 	for s := range next {
 		for r := range next[s] {
 			row := s*len(next[s]) + r
-			removed := without(base[s][r], next[s][r])
-			added := without(next[s][r], base[s][r])
+			removed := difference(base[s][r], next[s][r])
+			added := difference(next[s][r], base[s][r])
 			for i := range max(len(removed), len(added)) {
 				out = binary.AppendUvarint(out, uint64(row-last))
 				last = row
@@ -33,23 +34,23 @@
 	return out
 }
 
-// appendEdit packs the edit with index i of one row.
+// appendEdit encodes edit i of one row.
 func appendEdit(out []byte, i int, row, removed, added []int) []byte {
 	switch {
 	case i >= len(added):
-		place := slices.Index(row, removed[i])
-		return binary.AppendUvarint(out, uint64(place*edits+editRemove))
+		pos := slices.Index(row, removed[i])
+		return binary.AppendUvarint(out, uint64(pos*editKinds+editRemove))
 	case i >= len(removed):
 		out = binary.AppendUvarint(out, editAdd)
 	default:
-		place := slices.Index(row, removed[i])
-		out = binary.AppendUvarint(out, uint64(place*edits+editReplace))
+		pos := slices.Index(row, removed[i])
+		out = binary.AppendUvarint(out, uint64(pos*editKinds+editReplace))
 	}
 	return binary.AppendUvarint(out, uint64(added[i]))
 }
 
-// without returns what a has and b hasn't.
-func without(a, b []int) []int {
+// difference returns the elements of a that are not in b.
+func difference(a, b []int) []int {
 	var out []int
 	for _, x := range a {
 		if !slices.Contains(b, x) {
@@ -59,8 +60,9 @@
 	return out
 }
 
-// withChange returns base as a change says; it shares the rows that stay. ok is false when the change names a place outside of it or is cut.
-func withChange(base [][][]int, change []byte) (out [][][]int, ok bool) {
+// applyChange returns base with change applied, sharing the unchanged rows with base. ok is false
+// if the change is truncated or refers to a row or index outside base.
+func applyChange(base [][][]int, change []byte) (out [][][]int, ok bool) {
 	out = make([][][]int, len(base))
 	for s := range base {
 		out[s] = slices.Clone(base[s])
@@ -68,10 +70,10 @@
 	row := 0
 	for len(change) > 0 {
 		var e edit
-		if e, change, ok = nextEdit(change); !ok {
+		if e, change, ok = decodeEdit(change); !ok {
 			return nil, false
 		}
-		row += e.rows
+		row += e.rowDelta
 		set, rank, inside := rowAt(base, row)
 		if !inside || !e.apply(base[set][rank], &out[set][rank]) {
 			return nil, false
@@ -80,7 +82,7 @@
 	return out, true
 }
 
-// rowAt returns the set and the rank of a row, counted set after set.
+// rowAt returns the set and rank of a row; rows are numbered set after set.
 func rowAt(layout [][][]int, row int) (set, rank int, inside bool) {
 	for s := range layout {
 		if row < len(layout[s]) {
@@ -91,47 +93,47 @@
 	return 0, 0, false
 }
 
-// edit is one edit of a change: rows says how many rows after the edit before it.
+// edit is one decoded edit of a change; rowDelta is the distance in rows from the previous edit.
 type edit struct {
-	rows   int
-	kind   int
-	place  int
-	expert int
+	rowDelta int
+	kind     int
+	index    int
+	expert   int
 }
 
-// largest bounds the numbers of a change: maps have far fewer rows and experts.
-const largest = 1 << 24
+// maxEditNumber bounds the numbers in a change; maps have far fewer rows and experts.
+const maxEditNumber = 1 << 24
 
-// nextEdit takes an edit off the front of a change.
-func nextEdit(change []byte) (e edit, rest []byte, ok bool) {
+// decodeEdit decodes the first edit of a change and returns the remaining bytes.
+func decodeEdit(change []byte) (e edit, rest []byte, ok bool) {
 	var numbers [3]int
 	for i := range numbers {
-		if i == 2 && numbers[1]%edits == editRemove {
+		if i == 2 && numbers[1]%editKinds == editRemove {
 			break
 		}
 		v, n := binary.Uvarint(change)
-		if n <= 0 || v > largest {
+		if n <= 0 || v > maxEditNumber {
 			return e, nil, false
 		}
 		numbers[i], change = int(v), change[n:]
 	}
 	e = edit{
-		rows:   numbers[0],
-		kind:   numbers[1] % edits,
-		place:  numbers[1] / edits,
-		expert: numbers[2],
+		rowDelta: numbers[0],
+		kind:     numbers[1] % editKinds,
+		index:    numbers[1] / editKinds,
+		expert:   numbers[2],
 	}
 	return e, change, true
 }
 
-// apply makes the edit in row, whose places are those of before.
+// apply applies the edit to row and reports whether its index is valid; the index refers to before.
 func (e edit) apply(before []int, row *[]int) bool {
 	out := slices.Clone(*row)
 	if e.kind != editAdd {
-		if e.place >= len(before) {
+		if e.index >= len(before) {
 			return false
 		}
-		at := slices.Index(out, before[e.place])
+		at := slices.Index(out, before[e.index])
 		if at < 0 {
 			return false
 		}
--- a/group/counts_test.go
+++ b/group/counts_test.go
@@ -9,8 +9,9 @@
 	"geraniumpass/proto"
 )
 
-// TestCountsArePackedForLargeGroups stands for a turn of popularity, at which all ranks of a group tell their counts at once over the leader's link:
-// small groups tell them exactly, and none takes more of the link than 100 KB, 0.13 s at 6 Mbit/s.
+// TestCountsArePackedForLargeGroups guards against counts that fill the leader's link when all
+// ranks of a group send them at once after a shift of popularity: small groups send exact counts,
+// and no group takes more than 100 KB, 0.13 s at 6 Mbit/s.
 func TestCountsArePackedForLargeGroups(t *testing.T) {
 	const most = 100_000
 	tests := []struct {
@@ -26,7 +27,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			a := NewAgent(&fixedEngine{}, clockwork.NewFakeClock(), hclog.NewNullLogger())
+			a := NewAgent(&stubEngine{}, clockwork.NewFakeClock(), hclog.NewNullLogger())
 			a.tally.Add(make([]int64, tt.counts))
 			counts := make([]int64, tt.counts)
 			for i := range counts {
@@ -34,11 +35,11 @@
 			}
 			a.tally.Add(counts)
 			f := &proto.GroupRank{Rank: 3, Size: tt.ranks}
-			a.pack(f)
+			a.packCounts(f)
 			if together := tt.ranks * len(f.Chosen); together > most {
-				t.Errorf("all ranks tell %d bytes", together)
+				t.Errorf("all ranks together send %d bytes", together)
 			}
-			got := chosenOf(f)
+			got := unpackCounts(f)
 			if len(got) != tt.counts {
 				t.Fatalf("%d counts, want %d", len(got), tt.counts)
 			}
--- a/group/doc.go
+++ b/group/doc.go
@@ -1,2 +1,3 @@
-// Package group runs beside each rank of a group: it guards the engine's orders, tells the group's leader what the rank counts, and leads the group when no other does.
+// Package group runs beside each rank of a group: it guards the orders sent to the engine, reports
+// the rank's expert counts to the group's leader, and leads the group if no other rank does.
 package group
--- a/group/election.go
+++ b/group/election.go
@@ -11,31 +11,36 @@
 )
 
 const (
-	// silence is how long no leader must have been heard before a rank tries to lead; a leader speaks every heartbeatInterval.
-	silence = 700 * time.Millisecond
-	// newLeaderGrace is how long a leader that this rank did not know of is waited for: one that lives tries unknown ranks every dialEvery.
-	newLeaderGrace = 2 * dialEvery
-	// perRank is how much later each further rank tries, so that they don't all.
-	perRank = 100 * time.Millisecond
-	// campaignEvery is how often the silence is looked at.
-	campaignEvery = 100 * time.Millisecond
-	// campaignBackoff follows a try that failed.
+	// leaderTimeout is how long no leader must have been heard before a rank campaigns; a leader
+	// sends a heartbeat every heartbeatInterval.
+	leaderTimeout = 700 * time.Millisecond
+	// newLeaderGrace is how long a rank waits for the first heartbeat of a leader that it did not
+	// know: a live leader dials unconnected ranks every dialInterval.
+	newLeaderGrace = 2 * dialInterval
+	// campaignStagger is the additional delay per rank number, so that the ranks do not all
+	// campaign at once.
+	campaignStagger = 100 * time.Millisecond
+	// campaignInterval is the interval between two checks of leaderTimeout.
+	campaignInterval = 100 * time.Millisecond
+	// campaignBackoff is the pause after a failed campaign.
 	campaignBackoff = time.Second
 )
 
-// Elect waits until no leader is heard, takes the lead by a compare-and-swap whose revision is the fence, and leads, until ctx ends.
-// There is no lease: a leader shows that it lives by what it sends, and one that was replaced is refused by the guards.
+// Elect campaigns whenever no leader is heard and leads after a won election, until ctx ends. The
+// lead is taken by a compare-and-swap in the store, whose revision is the fencing token. There is
+// no lease: heartbeats show that a leader is alive, and the guards refuse a leader that was
+// replaced.
 func (m *Member) Elect(ctx context.Context) {
-	m.meet(ctx)
+	m.loadKnownLeader(ctx)
 	for ctx.Err() == nil {
-		rep, due := m.due()
+		rep, due := m.campaignDue()
 		if !due {
-			retry.Pause(ctx, campaignEvery)
+			retry.Pause(ctx, campaignInterval)
 			continue
 		}
 		fence, err := m.campaign(ctx, rep)
 		if err != nil {
-			m.Log.Info("not elected", "group", rep.Group, "error", err)
+			m.Log.Info("campaign failed", "group", rep.Group, "error", err)
 			retry.Pause(ctx, campaignBackoff)
 			continue
 		}
@@ -43,20 +48,21 @@
 	}
 }
 
-// meet asks the store once, as soon as the group is known, who leads: a leader that lives is heard within the first silence.
-func (m *Member) meet(ctx context.Context) {
+// loadKnownLeader reads the current leader from the store once, as soon as the group is known: a
+// live leader is heard within the first leaderTimeout.
+func (m *Member) loadKnownLeader(ctx context.Context) {
 	for ctx.Err() == nil {
 		rep, known := m.Agent.Report()
 		if !known || rep.Group == "" {
-			retry.Pause(ctx, campaignEvery)
+			retry.Pause(ctx, campaignInterval)
 			continue
 		}
 		v, err := m.Store.Get(ctx, m.key(rep))
 		if err != nil {
-			m.Log.Info("leader not known from the store", "group", rep.Group, "error", err)
+			m.Log.Info("cannot read the current leader from the store", "group", rep.Group, "error", err)
 			return
 		}
-		m.met = v.Modified
+		m.knownFence = v.Modified
 		return
 	}
 }
@@ -65,8 +71,8 @@
 	return m.Prefix + m.Service + "/" + rep.Group
 }
 
-// due returns true when this rank's turn to lead has come.
-func (m *Member) due() (Report, bool) {
+// campaignDue returns the rank's newest report and reports whether the rank should campaign now.
+func (m *Member) campaignDue() (Report, bool) {
 	a := m.Agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -74,48 +80,50 @@
 	if !a.known || rep.Group == "" || rep.Size == 0 {
 		return rep, false
 	}
-	return rep, a.Clock.Since(a.heard) > silence+time.Duration(rep.Rank)*perRank
+	return rep, a.Clock.Since(a.leaderSeenAt) > leaderTimeout+time.Duration(rep.Rank)*campaignStagger
 }
 
-// news returns true, and gives it a while to be heard, when a leader has been elected that this rank did not know of.
-func (m *Member) news(fence int64) bool {
+// noteNewLeader reports whether a leader that this rank did not know has been elected, and if so
+// grants it newLeaderGrace to be heard.
+func (m *Member) noteNewLeader(fence int64) bool {
 	a := m.Agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	if fence == 0 || fence == a.fence || fence == m.met {
+	if fence == 0 || fence == a.fence || fence == m.knownFence {
 		return false
 	}
-	m.met = fence
-	a.heard = a.Clock.Now().Add(newLeaderGrace - silence)
+	m.knownFence = fence
+	a.leaderSeenAt = a.Clock.Now().Add(newLeaderGrace - leaderTimeout)
 	return true
 }
 
-// EarlyError says that a leader was elected lately who may not have had the time to be heard.
-type EarlyError struct {
+// RecentLeaderError means that a leader was elected so recently that it may not have been heard
+// yet.
+type RecentLeaderError struct {
 	Fence int64
 }
 
-// Error names the leader's fence.
-func (e *EarlyError) Error() string {
-	return fmt.Sprintf("leader %d is new", e.Fence)
+// Error returns the message with the leader's fence.
+func (e *RecentLeaderError) Error() string {
+	return fmt.Sprintf("leader with fence %d was elected recently and may not have been heard yet", e.Fence)
 }
 
-// campaign returns the fence of a won lead.
+// campaign tries to take the lead and returns the fence of the new leader.
 func (m *Member) campaign(ctx context.Context, rep Report) (int64, error) {
 	key := m.key(rep)
 	have, err := m.Store.Get(ctx, key)
 	if err != nil {
 		return 0, err
 	}
-	if m.news(have.Modified) {
-		return 0, &EarlyError{Fence: have.Modified}
+	if m.noteNewLeader(have.Modified) {
+		return 0, &RecentLeaderError{Fence: have.Modified}
 	}
 	won, err := m.Store.Swap(ctx, key, []byte(m.Own.ID), have.Modified, 0)
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
-		// Somebody else was faster and will be heard.
+		// Another rank was faster and its heartbeat will follow.
 		m.Agent.mu.Lock()
-		m.Agent.heard = m.Agent.Clock.Now()
+		m.Agent.leaderSeenAt = m.Agent.Clock.Now()
 		m.Agent.mu.Unlock()
 	}
 	return won.Modified, err
--- a/group/engine.go
+++ b/group/engine.go
@@ -6,7 +6,7 @@
 	"geraniumpass/shift"
 )
 
-// Engine is the rank beside this process.
+// Engine controls the model server of one rank.
 type Engine interface {
 	// Report reads the engine's state.
 	Report(ctx context.Context) (Report, error)
@@ -14,6 +14,7 @@
 	Counts(ctx context.Context) ([]int64, error)
 	// Lists reads the version of the map in use and this rank's experts in it, by set.
 	Lists(ctx context.Context) (int64, [][]int, error)
-	// Do gives the engine an order; an error leaves open whether it is carried out, now or later.
+	// Do sends the engine an order and reports whether the engine accepted it. After an error the
+	// order may still be executed, even later.
 	Do(ctx context.Context, o shift.Order, layout [][][]int) (bool, error)
 }
--- a/group/error.go
+++ b/group/error.go
@@ -2,13 +2,14 @@
 
 import "fmt"
 
-// StartError says that a word came of an earlier start of the engine than the newest known, both in Unix milliseconds.
-type StartError struct {
+// StaleStartError means that a report comes from an earlier start of the engine than the newest one
+// known; both are in Unix milliseconds.
+type StaleStartError struct {
 	Known int64
 	Got   int64
 }
 
-// Error names both starts.
-func (e *StartError) Error() string {
-	return fmt.Sprintf("engine speaks as started at %d, it started again at %d", e.Got, e.Known)
+// Error returns the message with both starts.
+func (e *StaleStartError) Error() string {
+	return fmt.Sprintf("stale report of the engine start at %d (Unix ms), engine restarted at %d", e.Got, e.Known)
 }
--- a/group/layout.go
+++ b/group/layout.go
@@ -5,7 +5,7 @@
 	"geraniumpass/plan"
 )
 
-// layoutOf lists the experts by set and rank, as engines take a map.
+// layoutOf lists the experts by set and rank, the form in which engines take a map.
 func layoutOf(sets []*place.Placement) [][][]int {
 	out := make([][][]int, len(sets))
 	for s, p := range sets {
@@ -22,7 +22,8 @@
 	return out
 }
 
-// placementsOf puts the lists of all ranks together; nil when one is missing or an expert has no rank.
+// placementsOf combines the lists of all ranks; it returns nil if a list is missing or an expert
+// has no rank.
 func placementsOf(lists [][][]int, e *plan.Engine) []*place.Placement {
 	sets := make([]*place.Placement, e.Sets)
 	for s := range sets {
--- a/group/lead.go
+++ b/group/lead.go
@@ -15,180 +15,193 @@
 )
 
 const (
-	// heartbeatInterval is how often a leader lets every rank know that it lives.
+	// heartbeatInterval is the interval of the heartbeats to every rank.
 	heartbeatInterval = 150 * time.Millisecond
-	// tickEvery is how often a leader looks for what is due beside the answers that come in.
-	tickEvery = 25 * time.Millisecond
-	// dialEvery is how often ranks without a link are tried, listEvery how often the instances are read again while one is missing.
-	dialEvery = 250 * time.Millisecond
-	listEvery = 3 * time.Second
-	// foreignTTL is how long an address is left alone that belongs to another group; groups are formed anew after a crash only.
+	// tickInterval is how often a leader checks for due work, in addition to handling answers.
+	tickInterval = 25 * time.Millisecond
+	// dialInterval is how often unconnected ranks are dialled; listInterval is how often the
+	// instances are listed again while a rank is unconnected.
+	dialInterval = 250 * time.Millisecond
+	listInterval = 3 * time.Second
+	// foreignTTL is how long an address that belongs to another group is not dialled again; groups
+	// re-form only after a crash.
 	foreignTTL = 5 * time.Second
-	// demandHalfLife weighs late counts against early ones while popularity stands still, which it does for two to four seconds.
+	// demandHalfLife is the half-life of counts while popularity is stable, which lasts two to
+	// four seconds.
 	demandHalfLife = time.Second
-	// minSaving is the share of a step's expert part below which a switch is not begun: while one is under way, no other answers a turn of popularity.
+	// minSaving is the minimum saving for which a switch is started, as a share of the expert part
+	// of a step: a switch in progress blocks the reaction to a shift of popularity.
 	minSaving = 0.06
-	// copyTime is how long the loads of one rank for one switch may take together, if more than one fits: one step.
-	copyTime = 100 * time.Millisecond
-	// planEvery is how often a better map is looked for while none is under way: about once a step; a look takes some ms of a small processor.
-	planEvery = 50 * time.Millisecond
-	// usualPace is that of an engine that takes no longer for a step than it should.
-	usualPace = 1.0
-	// eventQueue bounds the answers that wait for the leader.
-	eventQueue = 256
+	// maxCopyTime bounds the total copy time of one rank per switch if more than one copy fits: one
+	// step.
+	maxCopyTime = 100 * time.Millisecond
+	// planInterval is how often a better map is searched for while no switch is in progress: about
+	// once a step. A search takes a few milliseconds of a small processor.
+	planInterval = 50 * time.Millisecond
+	// normalPace is the pace of an engine whose steps take their usual time.
+	normalPace = 1.0
+	// eventQueueSize bounds the events that wait for the leader.
+	eventQueueSize = 256
 )
 
 var (
-	switches   = expvar.NewInt("map_switches")
-	abandoned  = expvar.NewInt("map_switches_abandoned")
-	mapCopies  = expvar.NewInt("map_copies")
-	leadsTaken = expvar.NewInt("group_leads")
+	mapSwitches       = expvar.NewInt("map_switches")
+	switchesAbandoned = expvar.NewInt("map_switches_abandoned")
+	mapCopies         = expvar.NewInt("map_copies")
+	leaderTerms       = expvar.NewInt("group_leads")
 )
 
-// event is something that came over a link; without a rank's state it is the end of the link, nil when none came about.
+// event is a rank's state received over a link, or the end of the link if rank is nil; link is nil
+// as well if dialling failed.
 type event struct {
 	address string
 	link    *wire.Link
 	rank    *proto.GroupRank
 }
 
-// leading is one lead of a group; all of it belongs to one goroutine.
-type leading struct {
+// leadership is the state of one term as leader of a group. It is confined to one goroutine.
+type leadership struct {
 	m      *Member
 	group  string
 	leader *shift.Leader
 	engine *plan.Engine
 
 	events chan event
-	// links holds the links by rank, dialled the addresses that have one or are being tried.
+	// links holds the links by rank; dialled marks the addresses that are connected or being
+	// dialled.
 	links   []*wire.Link
 	dialled map[string]bool
 	rankOf  map[*wire.Link]int
-	// foreign is when an address was found to be of another group.
-	foreign map[string]time.Time
-	known   []bool
-	// reported is how many times its usual time each rank says that it takes for a step, paces the same where it counts as slow: ranks take
-	// a little longer while they load experts, and maps must not follow the copies that they are made by.
-	reported []float64
-	paces    []float64
-	// starts are the instances behind the ranks, instances those behind the agents' addresses.
+	// foreignSince is when an address was found to belong to another group.
+	foreignSince map[string]time.Time
+	known        []bool
+	// reportedPaces is the pace that each rank reports, the ratio of its step time to its usual
+	// step time. paces is the same for ranks that count as slow, and normalPace for the others:
+	// ranks take slightly longer while they load experts, and maps must not react to the copies
+	// that they cause.
+	reportedPaces []float64
+	paces         []float64
+	// starts holds the instances by rank, instances those by the address of their agent.
 	starts    []core.Start
 	instances map[string]core.Start
-	slow      *slowRanks
+	slow      *slowRankWriter
 
 	seq    uint64
 	sent   []shift.Order
 	sentAt []time.Time
 	seqs   []uint64
 
-	// sets is the map in use, of version inUse; next is the one that the present switch goes to.
+	// sets is the map in use, with version inUse; nextSets is the target of the current switch.
 	sets  []*place.Placement
 	inUse int64
-	// lists are the ranks' own lists of experts, under the versions listsMap.
-	lists    [][][]int
-	listsMap []int64
-	next     []*place.Placement
-	layout   [][][]int
-	// change is what layout changes of the map in use; prepared is the newest map that each rank has confirmed over its present link,
-	// has the one that came into use, by which it understands a change, and told the newest that it was told.
+	// lists holds the ranks' own lists of experts, listsVersion the map versions of these lists.
+	lists        [][][]int
+	listsVersion []int64
+	nextSets     []*place.Placement
+	layout       [][][]int
+	// change is the encoded difference between the map in use and layout. By rank, over the present
+	// link: mapSent is the newest map sent, prepared the newest map confirmed, and baseMap the map
+	// in use that the rank can apply a change to.
 	change   []byte
-	told     []int64
+	mapSent  []int64
 	prepared []int64
-	has      []int64
+	baseMap  []int64
 	copies   int
 	demand   place.Demand
-	// margin learns how far ahead holds have to lie; heldFrom is when the hold of the present switch was ordered, zero before.
-	margin   shift.Margin
-	heldFrom time.Time
-	entered  time.Time
-	phase    shift.Phase
-	// asked is when all ranks were last to be asked, askFrom when that may begin.
-	asked   time.Time
-	askFrom time.Time
+	// margin estimates how far ahead holds must lie; holdSince is when the hold of the current
+	// switch was ordered, zero before that.
+	margin     shift.Margin
+	holdSince  time.Time
+	phaseSince time.Time
+	phase      shift.Phase
+	// askedAt is when the leader last began to query all ranks; askNotBefore is the earliest time
+	// for the orders of that query.
+	askedAt      time.Time
+	askNotBefore time.Time
 
-	addresses []string
-	listed    time.Time
-	tried     time.Time
-	beat      time.Time
-	planned   time.Time
+	addresses   []string
+	listedAt    time.Time
+	dialledAt   time.Time
+	heartbeatAt time.Time
+	plannedAt   time.Time
 }
 
-// lead leads until ctx ends or a newer leader is met.
+// lead leads the group until ctx ends or a newer leader is observed.
 func (m *Member) lead(ctx context.Context, rep Report, fence int64) {
-	leadsTaken.Add(1)
-	m.Log.Info("leading", "group", rep.Group, "fence", fence, "size", rep.Size)
+	leaderTerms.Add(1)
+	m.Log.Info("leading group", "group", rep.Group, "fence", fence, "size", rep.Size)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	d := &leading{
-		m:        m,
-		group:    rep.Group,
-		leader:   shift.NewLeader(fence, rep.Size),
-		events:   make(chan event, eventQueue),
-		links:    make([]*wire.Link, rep.Size),
-		dialled:  make(map[string]bool),
-		rankOf:   make(map[*wire.Link]int),
-		foreign:  make(map[string]time.Time),
-		known:    make([]bool, rep.Size),
-		reported: slices.Repeat([]float64{usualPace}, rep.Size),
-		paces:    slices.Repeat([]float64{usualPace}, rep.Size),
-		starts:   make([]core.Start, rep.Size),
-		slow:     newSlowRanks(m.Store, m.SlowPrefix+rep.Group, m.Log),
-		sent:     make([]shift.Order, rep.Size),
-		sentAt:   make([]time.Time, rep.Size),
-		seqs:     make([]uint64, rep.Size),
-		lists:    make([][][]int, rep.Size),
-		listsMap: make([]int64, rep.Size),
-		prepared: make([]int64, rep.Size),
-		has:      make([]int64, rep.Size),
-		told:     make([]int64, rep.Size),
-		inUse:    shift.None,
-		demand:   place.Demand{HalfLife: demandHalfLife},
-		entered:  m.Clock.Now(),
+	d := &leadership{
+		m:             m,
+		group:         rep.Group,
+		leader:        shift.NewLeader(fence, rep.Size),
+		events:        make(chan event, eventQueueSize),
+		links:         make([]*wire.Link, rep.Size),
+		dialled:       make(map[string]bool),
+		rankOf:        make(map[*wire.Link]int),
+		foreignSince:  make(map[string]time.Time),
+		known:         make([]bool, rep.Size),
+		reportedPaces: slices.Repeat([]float64{normalPace}, rep.Size),
+		paces:         slices.Repeat([]float64{normalPace}, rep.Size),
+		starts:        make([]core.Start, rep.Size),
+		slow:          newSlowRankWriter(m.Store, m.SlowPrefix+rep.Group, m.Log),
+		sent:          make([]shift.Order, rep.Size),
+		sentAt:        make([]time.Time, rep.Size),
+		seqs:          make([]uint64, rep.Size),
+		lists:         make([][][]int, rep.Size),
+		listsVersion:  make([]int64, rep.Size),
+		prepared:      make([]int64, rep.Size),
+		baseMap:       make([]int64, rep.Size),
+		mapSent:       make([]int64, rep.Size),
+		inUse:         shift.None,
+		demand:        place.Demand{HalfLife: demandHalfLife},
+		phaseSince:    m.Clock.Now(),
 	}
 	defer d.close()
 	go d.slow.run(ctx)
-	tick := m.Clock.NewTicker(tickEvery)
+	tick := m.Clock.NewTicker(tickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case e := <-d.events:
-			if d.take(e) {
-				m.Log.Info("replaced as leader", "group", d.group, "fence", fence)
+			if d.handleEvent(e) {
+				m.Log.Info("replaced by a newer leader", "group", d.group, "fence", fence)
 				return
 			}
 		case <-tick.Chan():
 			d.connect(ctx)
-			d.speak()
-			d.tellSlow()
+			d.sendHeartbeats()
+			d.updateSlowRanks()
 		}
 		if d.isReplaced() {
-			m.Log.Info("replaced as leader", "group", d.group, "fence", fence)
+			m.Log.Info("replaced by a newer leader", "group", d.group, "fence", fence)
 			return
 		}
 		d.advance()
 	}
 }
 
-// isReplaced returns true when a later leader has been at a rank, this process's own included.
-func (d *leading) isReplaced() bool {
+// isReplaced reports whether a rank, including the one of this process, has seen a later leader.
+func (d *leadership) isReplaced() bool {
 	a := d.m.Agent
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.fence > d.leader.Fence || d.leader.IsReplaced()
 }
 
-func (d *leading) close() {
+func (d *leadership) close() {
 	for l := range d.rankOf {
 		l.Close()
 	}
 }
 
-// take handles an event and returns true when a newer leader has been met.
-func (d *leading) take(e event) bool {
+// handleEvent handles an event and reports whether a rank refused this leader for a newer one.
+func (d *leadership) handleEvent(e event) bool {
 	if e.rank == nil {
-		d.ended(e)
+		d.handleLinkEnd(e)
 		return false
 	}
 	rank := e.rank
@@ -196,7 +209,7 @@
 		return true
 	}
 	if rank.Group != d.group || rank.Size != len(d.links) || rank.Rank >= len(d.links) {
-		d.foreign[e.address] = d.m.Clock.Now()
+		d.foreignSince[e.address] = d.m.Clock.Now()
 		e.link.Close()
 		return false
 	}
@@ -205,22 +218,22 @@
 		d.links[r] = e.link
 		d.rankOf[e.link] = r
 		d.sent[r] = shift.Order{}
-		d.prepared[r], d.has[r], d.told[r] = shift.None, shift.None, shift.None
+		d.prepared[r], d.baseMap[r], d.mapSent[r] = shift.None, shift.None, shift.None
 	}
 	d.known[r] = true
-	d.reported[r] = paceOf(rank)
+	d.reportedPaces[r] = paceOf(rank)
 	d.starts[r] = d.instances[e.address]
-	if chosen := chosenOf(rank); len(chosen) > 0 {
+	if chosen := unpackCounts(rank); len(chosen) > 0 {
 		d.demand.Observe(d.m.Clock.Now(), chosen, rank.Unit)
 	}
 	if rank.Lists != nil {
-		d.lists[r], d.listsMap[r] = rank.Lists, rank.ListsMap
+		d.lists[r], d.listsVersion[r] = rank.Lists, rank.ListsMap
 	}
 	s := stateOf(rank)
 	if rank.Seq != 0 && rank.Seq == d.seqs[r] && rank.Unknown {
-		d.has[r], d.told[r] = shift.None, shift.None
+		d.baseMap[r], d.mapSent[r] = shift.None, shift.None
 		d.sent[r] = shift.Order{}
-		d.leader.Take(r, s)
+		d.leader.Observe(r, s)
 		return false
 	}
 	if rank.Seq != 0 && rank.Seq == d.seqs[r] {
@@ -229,50 +242,51 @@
 			d.prepared[r] = o.Version
 		}
 		d.sent[r] = shift.Order{}
-		d.leader.Answered(r, o, rank.OK, s)
+		d.leader.HandleAnswer(r, o, rank.OK, s)
 		return false
 	}
 	if rank.Seq == 0 {
-		d.leader.Take(r, s)
+		d.leader.Observe(r, s)
 	}
 	return false
 }
 
 func stateOf(r *proto.GroupRank) shift.State {
 	return shift.State{
-		Born:      r.Born,
-		Epoch:     r.Epoch,
-		Open:      r.Open,
-		Step:      r.Step,
-		Map:       r.Map,
-		Prepared:  r.Prepared,
-		Armed:     r.Armed,
-		ArmedStep: r.ArmedStep,
-		Held:      r.Held,
+		EngineStart: r.Born,
+		Epoch:       r.Epoch,
+		Open:        r.Open,
+		Step:        r.Step,
+		Map:         r.Map,
+		Prepared:    r.Prepared,
+		Armed:       r.Armed,
+		ArmedStep:   r.ArmedStep,
+		Held:        r.Held,
 	}
 }
 
-// paceOf returns a rank's pace. One that is faster than usual shortens no step, and one that doesn't say is taken for usual.
+// paceOf returns a rank's pace. A pace below normal shortens no step, and a missing one counts as
+// normal.
 func paceOf(r *proto.GroupRank) float64 {
-	return max(usualPace, r.Pace)
+	return max(normalPace, r.Pace)
 }
 
-// tellSlow finds out which ranks are slow and has the store hold them.
-func (d *leading) tellSlow() {
+// updateSlowRanks determines which ranks are slow and queues them for the store.
+func (d *leadership) updateSlowRanks() {
 	var paces []core.Pace
 	for r, start := range d.starts {
 		if start.ID != "" {
 			paces = append(paces, core.Pace{
 				Start: start,
-				Pace:  d.reported[r],
+				Pace:  d.reportedPaces[r],
 			})
 		}
 	}
-	d.slow.see(paces)
+	d.slow.update(paces)
 	for r, start := range d.starts {
-		d.paces[r] = usualPace
+		d.paces[r] = normalPace
 		if d.slow.isSlow(start) {
-			d.paces[r] = d.reported[r]
+			d.paces[r] = d.reportedPaces[r]
 		}
 	}
 }
--- a/group/links.go
+++ b/group/links.go
@@ -9,8 +9,8 @@
 	"geraniumpass/wire"
 )
 
-// connect opens links to the agents of the group's ranks that have none.
-func (d *leading) connect(ctx context.Context) {
+// connect dials the agents of ranks without a link.
+func (d *leadership) connect(ctx context.Context) {
 	now := d.m.Clock.Now()
 	missing := 0
 	for _, l := range d.links {
@@ -18,16 +18,16 @@
 			missing++
 		}
 	}
-	if missing == 0 || now.Sub(d.tried) < dialEvery {
+	if missing == 0 || now.Sub(d.dialledAt) < dialInterval {
 		return
 	}
-	d.tried = now
-	if now.Sub(d.listed) >= listEvery {
-		d.listed = now
-		d.list(ctx)
+	d.dialledAt = now
+	if now.Sub(d.listedAt) >= listInterval {
+		d.listedAt = now
+		d.listInstances(ctx)
 	}
 	for _, address := range d.addresses {
-		if d.dialled[address] || now.Sub(d.foreign[address]) < foreignTTL {
+		if d.dialled[address] || now.Sub(d.foreignSince[address]) < foreignTTL {
 			continue
 		}
 		d.dialled[address] = true
@@ -35,11 +35,11 @@
 	}
 }
 
-// list reads which instances there are and what is known of their engines.
-func (d *leading) list(ctx context.Context) {
+// listInstances loads the service's instances and the parameters of its engine.
+func (d *leadership) listInstances(ctx context.Context) {
 	c, err := d.m.Source.Load(ctx)
 	if err != nil {
-		d.m.Log.Warn("instances can't be listed", "error", err)
+		d.m.Log.Warn("cannot list instances", "error", err)
 		return
 	}
 	if c.Table != nil {
@@ -59,23 +59,23 @@
 }
 
 // agentOf returns the address of the agent beside an instance.
-func (d *leading) agentOf(in core.Instance) string {
+func (d *leadership) agentOf(in core.Instance) string {
 	host, _, err := net.SplitHostPort(in.Address)
 	if err != nil {
-		d.m.Log.Error("instance without a port", "instance", in.ID, "address", in.Address)
+		d.m.Log.Error("instance address has no port", "instance", in.ID, "address", in.Address)
 		return in.Address
 	}
 	return net.JoinHostPort(host, d.m.Port)
 }
 
-func (d *leading) dial(ctx context.Context, address string) {
+func (d *leadership) dial(ctx context.Context, address string) {
 	l, err := wire.Dial(address, d.m.Own, d.m.Key)
 	if err != nil {
-		d.m.Log.Debug("agent can't be reached", "address", address, "error", err)
+		d.m.Log.Debug("cannot connect to agent", "address", address, "error", err)
 		d.post(ctx, event{address: address})
 		return
 	}
-	// The first beat makes the agent tell its state, by which the rank is known.
+	// The agent answers the first heartbeat with its state, which identifies the rank.
 	_ = l.Send(d.heartbeatFrame())
 	_ = l.Receive(func(f *proto.Frame) {
 		if f.RankState != nil {
@@ -92,7 +92,7 @@
 	})
 }
 
-func (d *leading) post(ctx context.Context, e event) {
+func (d *leadership) post(ctx context.Context, e event) {
 	select {
 	case d.events <- e:
 	case <-ctx.Done():
@@ -102,7 +102,7 @@
 	}
 }
 
-func (d *leading) ended(e event) {
+func (d *leadership) handleLinkEnd(e event) {
 	delete(d.dialled, e.address)
 	r, ok := d.rankOf[e.link]
 	if !ok {
@@ -115,13 +115,13 @@
 	}
 }
 
-// speak lets all ranks know that the leader lives.
-func (d *leading) speak() {
+// sendHeartbeats sends a heartbeat to all connected ranks once heartbeatInterval has passed.
+func (d *leadership) sendHeartbeats() {
 	now := d.m.Clock.Now()
-	if now.Sub(d.beat) < heartbeatInterval {
+	if now.Sub(d.heartbeatAt) < heartbeatInterval {
 		return
 	}
-	d.beat = now
+	d.heartbeatAt = now
 	for _, l := range d.links {
 		if l != nil {
 			_ = l.Send(d.heartbeatFrame())
@@ -129,8 +129,9 @@
 	}
 }
 
-// heartbeatFrame says that the leader lives; it reads nothing that changes.
-func (d *leading) heartbeatFrame() *proto.Frame {
+// heartbeatFrame returns a heartbeat. It may run in any goroutine, since it reads only fields that
+// do not change.
+func (d *leadership) heartbeatFrame() *proto.Frame {
 	return &proto.Frame{RankOrder: &proto.GroupOrder{
 		Fence: d.leader.Fence,
 		Group: d.group,
--- a/group/maps.go
+++ b/group/maps.go
@@ -6,18 +6,21 @@
 	"geraniumpass/proto"
 )
 
-// mapsKept is how many maps a rank remembers: the one in use, the next, and some that were given up.
-const mapsKept = 4
+// maxCachedMaps is how many maps a rank keeps: the one in use, the next, and some of abandoned
+// switches.
+const maxCachedMaps = 4
 
-// maps are the newest maps that a rank was told, by which the next one takes what it changes instead of all: whole maps
-// for all ranks of a large group keep a leader's link busy while the group waits.
-type maps struct {
+// mapCache holds the newest maps that a rank received, so that an order needs to carry only the
+// change to one of them. Whole maps for all ranks of a large group would keep a leader's link busy
+// while the group waits.
+type mapCache struct {
 	versions []int64
 	layouts  [][][][]int
 }
 
-// of returns the map that an order names, remembered from now on; ok is false when its base is not known.
-func (m *maps) of(o *proto.GroupOrder) (layout [][][]int, ok bool) {
+// resolve returns the map that an order refers to and caches it. ok is false if the base is not
+// cached or the change is invalid.
+func (m *mapCache) resolve(o *proto.GroupOrder) (layout [][][]int, ok bool) {
 	if i := slices.Index(m.versions, o.Version); i >= 0 {
 		return m.layouts[i], true
 	}
@@ -27,13 +30,13 @@
 		if i < 0 {
 			return nil, false
 		}
-		if layout, ok = withChange(m.layouts[i], o.Change); !ok {
+		if layout, ok = applyChange(m.layouts[i], o.Change); !ok {
 			return nil, false
 		}
 	}
 	m.versions = append(m.versions, o.Version)
 	m.layouts = append(m.layouts, layout)
-	if len(m.versions) > mapsKept {
+	if len(m.versions) > maxCachedMaps {
 		m.versions = slices.Delete(m.versions, 0, 1)
 		m.layouts = slices.Delete(m.layouts, 0, 1)
 	}
--- a/group/maps_test.go
+++ b/group/maps_test.go
@@ -8,8 +8,8 @@
 	"geraniumpass/proto"
 )
 
-// wide is a map of as many sets, ranks and places as the larger fleets of the users have.
-func wide() [][][]int {
+// wideLayout returns a map with as many sets, ranks and slots as the larger fleets of users have.
+func wideLayout() [][][]int {
 	out := make([][][]int, 16)
 	for s := range out {
 		out[s] = make([][]int, 24)
@@ -20,53 +20,53 @@
 	return out
 }
 
-func changed(base [][][]int, rows int) [][][]int {
-	out, _ := withChange(base, nil)
+func withChangedRows(base [][][]int, rows int) [][][]int {
+	out, _ := applyChange(base, nil)
 	for i := range rows {
 		out[i%16][i%24] = []int{i % 96, 120}
 	}
 	return out
 }
 
-func TestMapsByChanges(t *testing.T) {
-	base := wide()
-	shorter, _ := withChange(base, nil)
+func TestMapCacheAppliesChanges(t *testing.T) {
+	base := wideLayout()
+	shorter, _ := applyChange(base, nil)
 	shorter[15][23] = []int{23}
-	longer, _ := withChange(base, nil)
+	longer, _ := applyChange(base, nil)
 	longer[0][0] = append(slices.Clone(longer[0][0]), 130, 131)
 	tests := []struct {
 		name string
 		next [][][]int
 	}{
-		{"nothing changes", changed(base, 0)},
-		{"one row", changed(base, 1)},
-		{"a copy a rank", changed(base, 24)},
-		{"every row", changed(base, 384)},
+		{"nothing changes", withChangedRows(base, 0)},
+		{"one row", withChangedRows(base, 1)},
+		{"a copy a rank", withChangedRows(base, 24)},
+		{"every row", withChangedRows(base, 384)},
 		{"a row gives copies up", shorter},
 		{"a row takes more", longer},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var m maps
-			if _, ok := m.of(&proto.GroupOrder{Version: 1, Map: base}); !ok {
-				t.Fatal("a whole map was not taken")
+			var m mapCache
+			if _, ok := m.resolve(&proto.GroupOrder{Version: 1, Map: base}); !ok {
+				t.Fatal("a whole map was rejected")
 			}
-			got, ok := m.of(&proto.GroupOrder{Version: 2, Base: 1, Change: changeBetween(base, tt.next)})
+			got, ok := m.resolve(&proto.GroupOrder{Version: 2, Base: 1, Change: encodeChange(base, tt.next)})
 			if !ok || !reflect.DeepEqual(got, tt.next) {
-				t.Errorf("the change doesn't make the map that it was taken from")
+				t.Errorf("applying the encoded change does not yield the next map")
 			}
-			again, ok := m.of(&proto.GroupOrder{Version: 2})
+			again, ok := m.resolve(&proto.GroupOrder{Version: 2})
 			if !ok || !reflect.DeepEqual(again, tt.next) {
-				t.Error("the map is not known any more when its order comes again")
+				t.Error("the map is not cached for a resent order")
 			}
-			if !reflect.DeepEqual(base, wide()) {
+			if !reflect.DeepEqual(base, wideLayout()) {
 				t.Error("the base was changed")
 			}
 		})
 	}
 }
 
-func TestMapsThatAreNotKnown(t *testing.T) {
+func TestMapCacheRejectsInvalidOrders(t *testing.T) {
 	tests := []struct {
 		name string
 		o    proto.GroupOrder
@@ -75,7 +75,7 @@
 		{"base too old", proto.GroupOrder{Version: 9, Base: 1}},
 		{"neither map nor base", proto.GroupOrder{Version: 9}},
 		{"row outside", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0x80, 0x03, 1, 0}}},
-		{"place outside", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0, 5*edits + editRemove}}},
+		{"place outside", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0, 5*editKinds + editRemove}}},
 		{"a place removed twice", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0, editRemove, 0, editRemove}}},
 		{"cut", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0, editAdd}}},
 		{"number without an end", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0xff}}},
@@ -83,20 +83,21 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			var m maps
-			for v := range int64(mapsKept + 1) {
-				m.of(&proto.GroupOrder{Version: v + 1, Map: wide()})
+			var m mapCache
+			for v := range int64(maxCachedMaps + 1) {
+				m.resolve(&proto.GroupOrder{Version: v + 1, Map: wideLayout()})
 			}
-			if _, ok := m.of(&tt.o); ok {
-				t.Error("a map was made of what isn't known")
+			if _, ok := m.resolve(&tt.o); ok {
+				t.Error("an invalid order yielded a map")
 			}
 		})
 	}
 }
 
-// TestOrderOfASwitchIsSmall stands for a leader behind a link of 6 Mbit/s that tells 64 ranks a map with 112 copies: with 1.4 KB for each of
-// them the last rank heard of it after 0.12 s, later than its copy takes. With 40 ms for all ranks, 470 bytes are left for each.
-func TestOrderOfASwitchIsSmall(t *testing.T) {
+// TestPrepareOrderSize covers a leader behind a link of 6 Mbit/s that sends 64 ranks a map with 112
+// copies. At 1.4 KB per rank the last rank got its order after 0.12 s, later than its copy takes;
+// 40 ms for all ranks leave 470 bytes per rank.
+func TestPrepareOrderSize(t *testing.T) {
 	const (
 		copies  = 112
 		perRank = 470
@@ -107,12 +108,12 @@
 			base[s] = append(base[s], []int{r, r + 64, r + 128, r + 192})
 		}
 	}
-	next, _ := withChange(base, nil)
+	next, _ := applyChange(base, nil)
 	for i := range copies {
 		r := i * 7 % 64
 		next[i%12][r] = []int{r, r + 64, r + 128, 192 + (r+1)%64}
 	}
-	b, err := proto.Marshal(&proto.GroupOrder{Version: 2, Base: 1, Change: changeBetween(base, next)})
+	b, err := proto.Marshal(&proto.GroupOrder{Version: 2, Base: 1, Change: encodeChange(base, next)})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -121,17 +122,18 @@
 	}
 }
 
-// FuzzChange gives ranks changes that no leader makes: they are refused or give a map, and never change their base.
+// FuzzChange applies changes that no leader produces: they are rejected or yield a map, and never
+// modify their base.
 func FuzzChange(f *testing.F) {
 	f.Add([]byte{0, editAdd, 3})
 	f.Add([]byte{1, editReplace, 9, 0, editRemove})
 	f.Fuzz(func(t *testing.T, change []byte) {
-		base := wide()
-		out, ok := withChange(base, change)
+		base := wideLayout()
+		out, ok := applyChange(base, change)
 		if ok && len(out) != len(base) {
 			t.Error("sets were lost")
 		}
-		if !reflect.DeepEqual(base, wide()) {
+		if !reflect.DeepEqual(base, wideLayout()) {
 			t.Error("the base was changed")
 		}
 	})
--- a/group/member.go
+++ b/group/member.go
@@ -10,7 +10,7 @@
 	"geraniumpass/wire"
 )
 
-// Member is a rank's agent together with what it needs to lead its group.
+// Member is a rank's agent with everything it needs to lead its group.
 type Member struct {
 	Agent   *Agent
 	Store   store.Store
@@ -20,15 +20,15 @@
 	Clock   clockwork.Clock
 	Log     hclog.Logger
 	Service string
-	// Prefix is where the store keeps the leaders of groups.
+	// Prefix is the store key prefix of the groups' leaders.
 	Prefix string
-	// SlowPrefix is where the store keeps which ranks of groups are slow.
+	// SlowPrefix is the store key prefix of the groups' slow ranks.
 	SlowPrefix string
-	// Port is where the agents of all ranks listen.
+	// Port is the port on which the agents of all ranks listen.
 	Port string
-	// Budget is what one change of the map may cost.
+	// Budget bounds the copies of one change of the map.
 	Budget place.Budget
 
-	// met is the newest leader's fence that the store told.
-	met int64
+	// knownFence is the fence of the newest leader read from the store.
+	knownFence int64
 }
--- a/group/orders.go
+++ b/group/orders.go
@@ -9,8 +9,8 @@
 	"geraniumpass/wire"
 )
 
-// take notes that a leader lives and starts what it orders.
-func (a *Agent) take(l *wire.Link, o *proto.GroupOrder) {
+// handleOrder records that the leader is alive and starts the execution of its order.
+func (a *Agent) handleOrder(l *wire.Link, o *proto.GroupOrder) {
 	order := shift.Order{
 		Fence:   o.Fence,
 		Op:      shift.Op(o.Op),
@@ -21,15 +21,16 @@
 	}
 	a.mu.Lock()
 	if o.Group != a.report.Group {
-		// Leaders of other groups look for their ranks here as well.
-		f := a.frame(a.report)
+		// Leaders of other groups dial this agent as well while they search for their ranks.
+		f := a.stateFrame(a.report)
 		a.mu.Unlock()
 		_ = l.Send(&proto.Frame{RankState: f})
 		return
 	}
 	if o.Fence < a.fence {
-		// A leader that slept has to learn that it was replaced from whatever it says, or it would wait for this rank for ever.
-		f := a.frame(a.report)
+		// A leader that was suspended must learn from any message that it was replaced; otherwise
+		// it would wait for this rank forever.
+		f := a.stateFrame(a.report)
 		a.mu.Unlock()
 		f.Seq, f.Refused = o.Seq, true
 		_ = l.Send(&proto.Frame{RankState: f})
@@ -37,8 +38,8 @@
 	}
 	a.fence = o.Fence
 	a.leader = l
-	a.heard = a.Clock.Now()
-	busy := a.underway[order]
+	a.leaderSeenAt = a.Clock.Now()
+	busy := a.inFlight[order]
 	if busy || order.Op == 0 {
 		a.mu.Unlock()
 		return
@@ -46,37 +47,37 @@
 	var layout [][][]int
 	if order.Op == shift.OpPrepare {
 		var ok bool
-		if layout, ok = a.maps.of(o); !ok {
-			f := a.frame(a.report)
+		if layout, ok = a.mapCache.resolve(o); !ok {
+			f := a.stateFrame(a.report)
 			a.mu.Unlock()
 			f.Seq, f.Unknown = o.Seq, true
-			a.Log.Info("map sent by its changes is not known here", "version", o.Version, "base", o.Base)
+			a.Log.Info("cannot build map: base is unknown or change is invalid", "version", o.Version, "base", o.Base)
 			_ = l.Send(&proto.Frame{RankState: f})
 			return
 		}
 	}
-	a.underway[order] = true
+	a.inFlight[order] = true
 	a.mu.Unlock()
 	go func() {
-		a.answer(l, o.Seq, order, layout)
+		a.answerOrder(l, o.Seq, order, layout)
 		a.mu.Lock()
-		delete(a.underway, order)
+		delete(a.inFlight, order)
 		a.mu.Unlock()
 	}()
 }
 
-// answer tries an order until it is settled and tells its leader.
-func (a *Agent) answer(l *wire.Link, seq uint64, o shift.Order, layout [][][]int) {
-	ctx, cancel := context.WithTimeout(context.Background(), orderTime)
+// answerOrder executes an order and sends the result to its leader.
+func (a *Agent) answerOrder(l *wire.Link, seq uint64, o shift.Order, layout [][][]int) {
+	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
-	ans, rep := a.settle(ctx, o, layout)
-	if ans == shift.AnswerWait {
+	ans, rep := a.completeOrder(ctx, o, layout)
+	if ans == shift.VerdictNotReady {
 		return
 	}
-	f := a.frame(rep)
+	f := a.stateFrame(rep)
 	f.Seq = seq
-	f.OK = ans == shift.AnswerDone
-	f.Refused = ans == shift.AnswerRefused
+	f.OK = ans == shift.VerdictDone
+	f.Refused = ans == shift.VerdictRefused
 	if o.Op == shift.OpAsk {
 		version, lists, err := a.Engine.Lists(ctx)
 		if err != nil {
@@ -84,54 +85,56 @@
 		}
 		f.ListsMap, f.Lists = version, lists
 	}
-	a.Log.Info("order", "op", o.Op.String(), "fence", o.Fence, "version", o.Version, "step", o.Step, "epoch", o.Epoch,
+	a.Log.Info("order answered", "op", o.Op.String(), "fence", o.Fence, "version", o.Version, "step", o.Step, "epoch", o.Epoch,
 		"ok", f.OK, "refused", f.Refused, "at", rep.Step, "map", rep.Map, "held", rep.Held, "armed", rep.Armed)
 	_ = l.Send(&proto.Frame{RankState: f})
 }
 
-// settle returns AnswerDone once the engine's state is what the order asks for, AnswerWait when that didn't come in time.
-func (a *Agent) settle(ctx context.Context, o shift.Order, layout [][][]int) (shift.Answer, Report) {
+// completeOrder retries an order until the engine's state is what it asks for, or the guard rejects
+// it. It returns VerdictNotReady if ctx ends first.
+func (a *Agent) completeOrder(ctx context.Context, o shift.Order, layout [][][]int) (shift.Verdict, Report) {
 	refused := 0
 	for ctx.Err() == nil {
-		ans, rep, sent := a.try(ctx, o, layout)
+		ans, rep, sent := a.tryOrder(ctx, o, layout)
 		switch {
-		case ans == shift.AnswerSend && !sent:
-			if refused++; refused >= refusals {
-				return shift.AnswerWrong, rep
+		case ans == shift.VerdictForward && !sent:
+			if refused++; refused >= maxRefusals {
+				return shift.VerdictMismatch, rep
 			}
-		case ans == shift.AnswerDone, ans == shift.AnswerRefused, ans == shift.AnswerWrong:
+		case ans == shift.VerdictDone, ans == shift.VerdictRefused, ans == shift.VerdictMismatch:
 			return ans, rep
 		}
 		if !sent {
-			retry.Pause(ctx, orderPoll)
+			retry.Pause(ctx, orderPollInterval)
 		}
 	}
-	return shift.AnswerWait, Report{}
+	return shift.VerdictNotReady, Report{}
 }
 
-// try reads the engine, has the guard judge the order and gives it; sent is false when the engine refused it.
-func (a *Agent) try(ctx context.Context, o shift.Order, layout [][][]int) (ans shift.Answer, rep Report, sent bool) {
-	a.ordering.Lock()
-	defer a.ordering.Unlock()
-	rep, err := a.look(ctx)
+// tryOrder reads the engine's state, lets the guard evaluate the order and forwards it. sent is
+// false if the engine refused the order or it was not sent.
+func (a *Agent) tryOrder(ctx context.Context, o shift.Order, layout [][][]int) (ans shift.Verdict, rep Report, sent bool) {
+	a.orderMu.Lock()
+	defer a.orderMu.Unlock()
+	rep, err := a.readReport(ctx)
 	if err != nil {
-		return shift.AnswerWait, rep, false
+		return shift.VerdictNotReady, rep, false
 	}
-	a.guard.Lossy = a.Clock.Since(a.lossAt) < lossyTime
-	ans, send := a.guard.Judge(o, rep.State)
-	if ans != shift.AnswerSend {
+	a.guard.Lossy = a.Clock.Since(a.unansweredAt) < lossyWindow
+	ans, send := a.guard.Evaluate(o, rep.State)
+	if ans != shift.VerdictForward {
 		return ans, rep, false
 	}
-	if send.Op == shift.OpPrepare && a.copying == send.Version && rep.Copying {
-		return shift.AnswerWait, rep, false
+	if send.Op == shift.OpPrepare && a.preparing == send.Version && rep.Copying {
+		return shift.VerdictNotReady, rep, false
 	}
-	done, err := a.do(ctx, send, layout)
+	done, err := a.execute(ctx, send, layout)
 	if err != nil {
-		return shift.AnswerWait, rep, false
+		return shift.VerdictNotReady, rep, false
 	}
 	if done && send.Op == shift.OpPrepare {
-		a.copying = send.Version
-		return shift.AnswerWait, rep, false
+		a.preparing = send.Version
+		return shift.VerdictNotReady, rep, false
 	}
 	return ans, rep, done
 }
--- a/group/phases.go
+++ b/group/phases.go
@@ -7,89 +7,91 @@
 )
 
 const (
-	// holdTime is how long a hold may wait for its confirmation before the switch is given up; steps stall behind it.
-	holdTime = 400 * time.Millisecond
-	// prepareTime is how long all ranks may take to load what a map needs: a few copies of some 400 ms.
-	prepareTime = 3 * time.Second
+	// holdTimeout is how long a hold may stay unconfirmed before the switch is abandoned; steps
+	// stall behind the hold.
+	holdTimeout = 400 * time.Millisecond
+	// prepareTimeout is how long all ranks may take to load the experts of a map: a few copies of
+	// about 400 ms.
+	prepareTimeout = 3 * time.Second
 )
 
-// advance starts and gives up switches, and sends what the leader's phase asks for.
-func (d *leading) advance() {
+// advance starts and abandons switches and sends the orders of the current phase.
+func (d *leadership) advance() {
 	now := d.m.Clock.Now()
 	if own, known := d.m.Agent.Report(); known {
-		d.margin.Stepped(now, own.Step)
+		d.margin.ObserveStep(now, own.Step)
 	}
-	d.noteChange(now)
+	d.checkPhase(now)
 	if d.leader.Phase == shift.PhaseIdle {
-		d.begin()
-		d.noteChange(now)
+		d.beginSwitch()
+		d.checkPhase(now)
 	}
-	d.expire(now)
-	d.noteChange(now)
-	d.send(now)
+	d.abortOverdue(now)
+	d.checkPhase(now)
+	d.sendOrders(now)
 }
 
-func (d *leading) noteChange(now time.Time) {
+func (d *leadership) checkPhase(now time.Time) {
 	if d.leader.Phase != d.phase {
-		d.changed(now)
+		d.handlePhaseChange(now)
 	}
 }
 
-// changed notes a new phase.
-func (d *leading) changed(now time.Time) {
+// handlePhaseChange updates the bookkeeping after a change of phase.
+func (d *leadership) handlePhaseChange(now time.Time) {
 	from := d.phase
 	d.phase = d.leader.Phase
-	d.entered = now
+	d.phaseSince = now
 	switch {
 	case d.phase == shift.PhaseHold:
-		d.heldFrom = now
+		d.holdSince = now
 	case d.phase == shift.PhaseIdle && from == shift.PhaseGo:
-		d.switched(now)
-		d.sets, d.inUse = d.next, d.leader.Version
-		if d.next == nil {
-			// It was an earlier leader's switch, whose map only the ranks know.
+		d.recordSwitch(now)
+		d.sets, d.inUse = d.nextSets, d.leader.Version
+		if d.nextSets == nil {
+			// An earlier leader started this switch; only the ranks know its map.
 			d.inUse = shift.None
 		}
-		copy(d.has, d.prepared)
-		d.next = nil
+		copy(d.baseMap, d.prepared)
+		d.nextSets = nil
 	case d.phase == shift.PhaseAsk:
-		d.askFrom = d.asked.Add(askEvery)
-		d.asked = now
-		d.next, d.inUse = nil, shift.None
-		d.heldFrom = time.Time{}
-		d.m.Log.Info("asking all ranks", "group", d.group, "from", from.String())
+		d.askNotBefore = d.askedAt.Add(askInterval)
+		d.askedAt = now
+		d.nextSets, d.inUse = nil, shift.None
+		d.holdSince = time.Time{}
+		d.m.Log.Info("querying all ranks", "group", d.group, "from", from.String())
 	case d.phase == shift.PhaseIdle, d.phase == shift.PhaseRelease:
 		if from == shift.PhasePrepare || from == shift.PhaseHold {
-			abandoned.Add(1)
-			d.m.Log.Warn("switch given up", "group", d.group, "version", d.leader.Version, "from", from.String())
-			d.next = nil
+			switchesAbandoned.Add(1)
+			d.m.Log.Warn("map switch abandoned", "group", d.group, "version", d.leader.Version, "from", from.String())
+			d.nextSets = nil
 		}
 	}
 }
 
-// switched counts a switch that is through and learns from how long its hold was needed.
-func (d *leading) switched(now time.Time) {
-	switches.Add(1)
+// recordSwitch counts a completed switch and feeds the duration of its hold to the margin.
+func (d *leadership) recordSwitch(now time.Time) {
+	mapSwitches.Add(1)
 	mapCopies.Add(int64(d.copies))
 	held := time.Duration(0)
-	if !d.heldFrom.IsZero() {
-		held = now.Sub(d.heldFrom)
-		d.margin.Switched(now, held)
+	if !d.holdSince.IsZero() {
+		held = now.Sub(d.holdSince)
+		d.margin.ObserveSwitch(now, held)
 	}
-	d.heldFrom = time.Time{}
+	d.holdSince = time.Time{}
 	d.m.Log.Info("map switched", "group", d.group, "version", d.leader.Version, "step", d.leader.Step, "copies", d.copies, "held", held.String())
 }
 
-// expire gives up a switch that takes too long and has armed nothing yet.
-func (d *leading) expire(now time.Time) {
-	waited := now.Sub(d.entered)
+// abortOverdue abandons a switch that exceeds its timeout before any rank is armed.
+func (d *leadership) abortOverdue(now time.Time) {
+	waited := now.Sub(d.phaseSince)
 	switch d.leader.Phase {
 	case shift.PhasePrepare:
-		if waited > prepareTime {
+		if waited > prepareTimeout {
 			d.leader.Abandon()
 		}
 	case shift.PhaseHold:
-		if waited > holdTime {
+		if waited > holdTimeout {
 			d.leader.Abandon()
 		}
 	case shift.PhaseAsk, shift.PhaseIdle, shift.PhaseArm, shift.PhaseGo, shift.PhaseRelease:
--- a/group/planning.go
+++ b/group/planning.go
@@ -5,22 +5,22 @@
 	"geraniumpass/shift"
 )
 
-// begin starts a switch when a better map is worth its copies.
-func (d *leading) begin() {
-	if !d.settled() || !d.current() {
+// beginSwitch starts a switch if a better map is worth its copies.
+func (d *leadership) beginSwitch() {
+	if !d.isSettled() || !d.ensureCurrentMap() {
 		return
 	}
 	now := d.m.Clock.Now()
 	load := d.demand.Loads(len(d.sets))
-	if load == nil || d.demand.Turning(now) || now.Sub(d.planned) < planEvery {
+	if load == nil || d.demand.Turning(now) || now.Sub(d.plannedAt) < planInterval {
 		return
 	}
-	d.planned = now
+	d.plannedAt = now
 	budget := d.m.Budget
 	if d.engine != nil {
 		budget.PerSet = d.engine.Spare
 		if d.engine.CopyTime > 0 {
-			budget.PerRank = max(budget.PerRank, int(copyTime/d.engine.CopyTime))
+			budget.PerRank = max(budget.PerRank, int(maxCopyTime/d.engine.CopyTime))
 		}
 	}
 	next, copies := place.ImproveSets(d.sets, load, d.paces, budget)
@@ -35,20 +35,22 @@
 	if !ok {
 		return
 	}
-	d.m.Log.Info("changing the map", "group", d.group, "version", version, "copies", copies, "peak", peak/mean, "to", after/mean, "ahead", ahead)
-	d.next, d.copies = next, copies
+	d.m.Log.Info("starting map switch", "group", d.group, "version", version, "copies", copies, "peak", peak/mean, "to", after/mean, "ahead", ahead)
+	d.nextSets, d.copies = next, copies
 	d.layout = layoutOf(next)
-	d.change = changeBetween(layoutOf(d.sets), d.layout)
+	d.change = encodeChange(layoutOf(d.sets), d.layout)
 }
 
-// settled returns true when every rank is known and steps, or will step, under the same map.
-func (d *leading) settled() bool {
+// isSettled reports whether every rank is known and open, and all ranks use, or are about to use,
+// the same map.
+func (d *leadership) isSettled() bool {
 	switched := d.inUse == d.leader.Version
 	for r, s := range d.leader.Ranks {
 		if !d.known[r] || !s.Open {
 			return false
 		}
-		// After a switch of its own the leader knows the map, whatever the ranks' last words were.
+		// After a switch by this leader the map is known, even if the ranks' last reports are
+		// older.
 		if !switched && (s.Armed != shift.None || s.Held != shift.None || s.Map != d.leader.Ranks[0].Map) {
 			return false
 		}
@@ -56,8 +58,9 @@
 	return true
 }
 
-// current makes sure that the map in use is known, from the ranks' own lists if need be.
-func (d *leading) current() bool {
+// ensureCurrentMap reports whether the map in use is known, after rebuilding it from the ranks' own
+// lists if necessary.
+func (d *leadership) ensureCurrentMap() bool {
 	version := d.leader.Ranks[0].Map
 	if d.sets != nil && (d.inUse == version || d.inUse == d.leader.Version) {
 		return true
@@ -65,7 +68,7 @@
 	if d.engine == nil {
 		return false
 	}
-	for _, v := range d.listsMap {
+	for _, v := range d.listsVersion {
 		if v != version {
 			d.leader.Ask()
 			return false
--- a/group/send.go
+++ b/group/send.go
@@ -8,16 +8,17 @@
 )
 
 const (
-	// repeatAfter is when an order without an answer is given again, by a few bytes: a rank keeps what it was told over a link that lives.
-	repeatAfter = 200 * time.Millisecond
-	// askEvery is the least time between two rounds of questions to all ranks, and between two to a rank that is closed: one that can't go on
-	// must not keep all of them busy.
-	askEvery = 50 * time.Millisecond
+	// resendInterval is the time after which an unanswered order is sent again. A resend takes a
+	// few bytes, since a rank keeps the map that it received over a live link.
+	resendInterval = 200 * time.Millisecond
+	// askInterval is the minimum time between two queries of all ranks, and between two queries of
+	// a closed rank: a rank that stays closed must not keep all of them busy.
+	askInterval = 50 * time.Millisecond
 )
 
-// send gives the orders that are not answered yet, again after a while.
-func (d *leading) send(now time.Time) {
-	if d.leader.Phase == shift.PhaseAsk && now.Before(d.askFrom) {
+// sendOrders sends the orders that are not answered yet, and resends them after resendInterval.
+func (d *leadership) sendOrders(now time.Time) {
+	if d.leader.Phase == shift.PhaseAsk && now.Before(d.askNotBefore) {
 		return
 	}
 	for r, o := range d.leader.Orders() {
@@ -25,34 +26,35 @@
 			continue
 		}
 		if o != d.sent[r] {
-			// A repeat keeps its number, so that the answer to the first counts.
+			// A resend keeps its sequence number, so that an answer to the first one counts.
 			d.seq++
 			d.seqs[r] = d.seq
 		}
 		d.sent[r], d.sentAt[r] = o, now
-		// A link that has ended is told by its own event.
+		// The end of a link is reported by its own event.
 		_ = d.links[r].Send(&proto.Frame{RankOrder: d.orderFrame(r, o)})
 	}
 }
 
-// isDue returns true when an order has to go to a rank now, for the first time or once more. The ranks of a group that is not whole answer at
-// once that they are closed: without a pause they would be asked as fast as they answer, for as long as a rank is missing.
-func (d *leading) isDue(r int, o shift.Order, now time.Time) bool {
+// isDue reports whether an order has to be sent to a rank now, first or again. The ranks of an
+// incomplete group answer immediately that they are closed; without a pause they would be queried
+// as fast as they answer for as long as a rank is missing.
+func (d *leadership) isDue(r int, o shift.Order, now time.Time) bool {
 	since := now.Sub(d.sentAt[r])
 	if o == d.sent[r] {
-		return since >= repeatAfter
+		return since >= resendInterval
 	}
 	isClosed := o.Op == shift.OpAsk && !d.leader.Ranks[r].Open
-	return !isClosed || since >= askEvery
+	return !isClosed || since >= askInterval
 }
 
-// knows returns true when a rank can put the next map together from the one in use.
-func (d *leading) knows(r int) bool {
-	return d.inUse != shift.None && d.has[r] == d.inUse
+// knowsBase reports whether a rank can build the next map from the one in use.
+func (d *leadership) knowsBase(r int) bool {
+	return d.inUse != shift.None && d.baseMap[r] == d.inUse
 }
 
-// orderFrame is an order as it goes to a rank, with the next map where the order needs it.
-func (d *leading) orderFrame(r int, o shift.Order) *proto.GroupOrder {
+// orderFrame returns the frame of an order to a rank, with the next map if the order needs it.
+func (d *leadership) orderFrame(r int, o shift.Order) *proto.GroupOrder {
 	f := &proto.GroupOrder{
 		Group:   d.group,
 		Fence:   o.Fence,
@@ -69,15 +71,16 @@
 	return f
 }
 
-// addMap has a frame carry the next map, by what it changes where the rank knows the one in use. A repeat over the same link carries none:
-// the maps for all ranks of a large group fill a leader's link, and the orders behind them come late.
-func (d *leading) addMap(r int, f *proto.GroupOrder) {
+// addMap adds the next map to a frame, as a change if the rank knows the map in use. A resend over
+// the same link carries no map: the maps for all ranks of a large group fill a leader's link and
+// delay the orders behind them.
+func (d *leadership) addMap(r int, f *proto.GroupOrder) {
 	switch {
-	case d.told[r] == f.Version:
-	case d.knows(r):
+	case d.mapSent[r] == f.Version:
+	case d.knowsBase(r):
 		f.Base, f.Change = d.inUse, d.change
 	default:
 		f.Map = d.layout
 	}
-	d.told[r] = f.Version
+	d.mapSent[r] = f.Version
 }
--- a/group/slow.go
+++ b/group/slow.go
@@ -15,68 +15,70 @@
 )
 
 const (
-	// slowFrom and slowUntil are the paces from which a rank counts as slow and down to which it goes on to: hysteresis keeps small changes
-	// of a pace from being written.
-	slowFrom  = 1.25
-	slowUntil = 1.1
-	// slowWriteEvery is the least time between two writes of a group's slow ranks; each wakes every entry.
-	slowWriteEvery = 300 * time.Millisecond
-	// slowRetry is the pause after a write that failed.
-	slowRetry = time.Second
+	// A rank counts as slow from slowEnterPace on until its pace drops to slowExitPace. The
+	// hysteresis keeps small changes of a pace from being written.
+	slowEnterPace = 1.25
+	slowExitPace  = 1.1
+	// slowWriteInterval is the minimum time between two writes of a group's slow ranks; each write
+	// wakes every entry.
+	slowWriteInterval = 300 * time.Millisecond
+	// slowRetryBackoff is the pause after a failed write.
+	slowRetryBackoff = time.Second
 )
 
-// slowRanks has entries know which ranks of a group are slow, so that those get no more work than they must: it keeps a key of the store at
-// what the leader sees.
-type slowRanks struct {
+// slowRankWriter publishes the slow ranks of a group under a key of the store, so that entries send
+// them no more work than necessary.
+type slowRankWriter struct {
 	store store.Store
 	key   string
 	log   hclog.Logger
-	// news holds the newest list that is not written yet.
-	news chan []core.Pace
-	slow map[core.Start]bool
-	last []core.Pace
+	// pending holds the newest list that is not written yet.
+	pending chan []core.Pace
+	slow    map[core.Start]bool
+	last    []core.Pace
 }
 
-func newSlowRanks(s store.Store, key string, log hclog.Logger) *slowRanks {
-	return &slowRanks{
-		store: s,
-		key:   key,
-		log:   log,
-		news:  make(chan []core.Pace, 1),
-		slow:  make(map[core.Start]bool),
+func newSlowRankWriter(s store.Store, key string, log hclog.Logger) *slowRankWriter {
+	return &slowRankWriter{
+		store:   s,
+		key:     key,
+		log:     log,
+		pending: make(chan []core.Pace, 1),
+		slow:    make(map[core.Start]bool),
 	}
 }
 
-// see takes the paces of all ranks; only a change of which are slow is written.
-func (s *slowRanks) see(all []core.Pace) {
-	var now []core.Pace
+// update takes the paces of all ranks and queues a write if the set of slow ranks has changed.
+func (s *slowRankWriter) update(all []core.Pace) {
+	var list []core.Pace
 	slow := make(map[core.Start]bool)
 	for _, p := range all {
-		if p.Pace >= slowFrom || s.slow[p.Start] && p.Pace > slowUntil {
+		if p.Pace >= slowEnterPace || s.slow[p.Start] && p.Pace > slowExitPace {
 			slow[p.Start] = true
-			now = append(now, p)
+			list = append(list, p)
 		}
 	}
 	s.slow = slow
-	same := slices.EqualFunc(now, s.last, func(a, b core.Pace) bool { return a.Start == b.Start })
+	same := slices.EqualFunc(list, s.last, func(a, b core.Pace) bool { return a.Start == b.Start })
 	if same {
 		return
 	}
-	s.last = now
+	s.last = list
 	select {
-	case <-s.news:
+	case <-s.pending:
 	default:
 	}
-	s.news <- now
+	s.pending <- list
 }
 
-// isSlow returns whether a rank counts as slow by what was seen last.
-func (s *slowRanks) isSlow(start core.Start) bool {
+// isSlow reports whether a rank counted as slow in the last update.
+func (s *slowRankWriter) isSlow(start core.Start) bool {
 	return s.slow[start]
 }
 
-// run writes until ctx ends. What an earlier leader has left in the store is taken back first.
-func (s *slowRanks) run(ctx context.Context) {
+// run writes pending lists until ctx ends. It first clears what an earlier leader left in the
+// store.
+func (s *slowRankWriter) run(ctx context.Context) {
 	revision := int64(0)
 	list := []core.Pace(nil)
 	written := false
@@ -84,23 +86,25 @@
 		if !written {
 			var err error
 			if revision, err = s.write(ctx, list, revision); err != nil {
-				s.log.Warn("slow ranks not in the store yet", "key", s.key, "error", err)
-				retry.Pause(ctx, slowRetry)
+				s.log.Warn("cannot write slow ranks to the store, retrying", "key", s.key, "error", err)
+				retry.Pause(ctx, slowRetryBackoff)
 				continue
 			}
-			retry.Pause(ctx, slowWriteEvery)
+			retry.Pause(ctx, slowWriteInterval)
 			written = true
 		}
 		select {
 		case <-ctx.Done():
-		case list = <-s.news:
+		case list = <-s.pending:
 			written = false
 		}
 	}
 }
 
-// write puts a list under the key, last seen at a revision, and returns its revision; nothing is written where nothing is to be said.
-func (s *slowRanks) write(ctx context.Context, list []core.Pace, revision int64) (int64, error) {
+// write stores a list under the key if its revision is still the given one, and returns the new
+// revision. Revision 0 means unknown: the key is read first, and an empty list is not written over
+// an absent or empty one.
+func (s *slowRankWriter) write(ctx context.Context, list []core.Pace, revision int64) (int64, error) {
 	if revision == 0 {
 		have, err := s.store.Get(ctx, s.key)
 		if err != nil {
@@ -126,6 +130,6 @@
 	if err != nil {
 		return 0, err
 	}
-	s.log.Info("slow ranks told", "key", s.key, "slow", len(list))
+	s.log.Info("slow ranks written to the store", "key", s.key, "slow", len(list))
 	return v.Modified, nil
 }
--- a/group/slow_test.go
+++ b/group/slow_test.go
@@ -14,25 +14,25 @@
 	"geraniumpass/store"
 )
 
-// oneKey is a store with one key.
-type oneKey struct {
+// fakeStore is a store with a single key.
+type fakeStore struct {
 	store.Store
 
 	mu     sync.Mutex
 	value  store.Value
 	writes int
-	// down makes writes fail, lost makes the next one take effect without an answer.
+	// down makes writes fail; lost makes the next write take effect without an answer.
 	down bool
 	lost bool
 }
 
-func (s *oneKey) Get(context.Context, string) (store.Value, error) {
+func (s *fakeStore) Get(context.Context, string) (store.Value, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.value, nil
 }
 
-func (s *oneKey) Swap(_ context.Context, key string, data []byte, modified int64, _ store.Lease) (store.Value, error) {
+func (s *fakeStore) Swap(_ context.Context, key string, data []byte, modified int64, _ store.Lease) (store.Value, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.down {
@@ -50,14 +50,14 @@
 	return s.value, nil
 }
 
-func (s *oneKey) set(change func()) {
+func (s *fakeStore) set(change func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	change()
 }
 
-// slow returns the ids that the key names, in its order.
-func (s *oneKey) slow(t *testing.T) []string {
+// slow returns the ids stored under the key, in order.
+func (s *fakeStore) slow(t *testing.T) []string {
 	t.Helper()
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -75,7 +75,7 @@
 	return ids
 }
 
-func (s *oneKey) await(t *testing.T, want ...string) {
+func (s *fakeStore) await(t *testing.T, want ...string) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for {
@@ -88,7 +88,7 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatalf("the store names %v as slow, want %v", got, want)
+			t.Fatalf("slow ranks in the store: %v, want %v", got, want)
 		}
 		<-time.After(time.Millisecond)
 	}
@@ -102,59 +102,61 @@
 	return out
 }
 
-// TestStoreNamesTheSlowRanks has ranks turn slow and recover while writes are lost, refused or left behind by an earlier leader.
-func TestStoreNamesTheSlowRanks(t *testing.T) {
+// TestSlowRanksAreStored lets ranks become slow and recover while writes are lost or refused, or a
+// list of an earlier leader is left in the store.
+func TestSlowRanksAreStored(t *testing.T) {
 	tests := []struct {
 		name string
 		left string
-		harm func(s *oneKey)
+		harm func(s *fakeStore)
 	}{
-		{"nothing goes wrong", "", func(*oneKey) {}},
-		{"an earlier leader has left others", `[{"start":{"id":"z"},"pace":2}]`, func(*oneKey) {}},
-		{"the store is down for a while", "", func(s *oneKey) {
+		{"nothing goes wrong", "", func(*fakeStore) {}},
+		{"an earlier leader has left others", `[{"start":{"id":"z"},"pace":2}]`, func(*fakeStore) {}},
+		{"the store is down for a while", "", func(s *fakeStore) {
 			s.set(func() { s.down = true })
 			time.AfterFunc(200*time.Millisecond, func() { s.set(func() { s.down = false }) })
 		}},
-		{"an answer is lost", "", func(s *oneKey) { s.set(func() { s.lost = true }) }},
+		{"an answer is lost", "", func(s *fakeStore) { s.set(func() { s.lost = true }) }},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			s := &oneKey{}
+			s := &fakeStore{}
 			if tt.left != "" {
 				s.value = store.Value{Data: []byte(tt.left), Modified: 7}
 			}
 			ctx, cancel := context.WithCancel(context.Background())
 			defer cancel()
-			r := newSlowRanks(s, "k", hclog.NewNullLogger())
+			r := newSlowRankWriter(s, "k", hclog.NewNullLogger())
 			go r.run(ctx)
 			s.await(t)
 			tt.harm(s)
-			r.see(ranksAt(1, 2, 1))
+			r.update(ranksAt(1, 2, 1))
 			s.await(t, "b")
-			r.see(ranksAt(1.3, 2, 1))
+			r.update(ranksAt(1.3, 2, 1))
 			s.await(t, "a", "b")
-			r.see(ranksAt(1, 1, 1))
+			r.update(ranksAt(1, 1, 1))
 			s.await(t)
 		})
 	}
 }
 
-// TestSmallChangesOfAPaceAreNotWritten keeps each entry from being woken by what changes no choice.
-func TestSmallChangesOfAPaceAreNotWritten(t *testing.T) {
-	s := &oneKey{}
+// TestSmallPaceChangesAreNotWritten guards against writes that wake every entry without affecting
+// its choice of rank.
+func TestSmallPaceChangesAreNotWritten(t *testing.T) {
+	s := &fakeStore{}
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	r := newSlowRanks(s, "k", hclog.NewNullLogger())
+	r := newSlowRankWriter(s, "k", hclog.NewNullLogger())
 	go r.run(ctx)
 	for _, pace := range []float64{1, 1.2, 1.24, 1.1, 1} {
-		r.see(ranksAt(pace, 1))
+		r.update(ranksAt(pace, 1))
 	}
-	r.see(ranksAt(1.3, 1))
+	r.update(ranksAt(1.3, 1))
 	s.await(t, "a")
 	for _, pace := range []float64{1.2, 1.24, 1.26, 1.15, 1.3} {
-		r.see(ranksAt(pace, 1))
+		r.update(ranksAt(pace, 1))
 	}
-	r.see(ranksAt(1.05, 1))
+	r.update(ranksAt(1.05, 1))
 	s.await(t)
 	if s.writes != 2 {
 		t.Errorf("%d writes, want 2", s.writes)
--- a/group/start.go
+++ b/group/start.go
@@ -5,23 +5,23 @@
 	"geraniumpass/shift"
 )
 
-// meet forgets what belongs to an earlier start of the engine once a later one tells of itself, and fails with a *StartError for a late
-// word of an earlier one; the caller holds ordering.
-func (a *Agent) meet(rep Report) error {
-	if rep.Born == a.born {
+// checkStart resets the state of an earlier start of the engine when a newer start reports. It
+// fails with a *StaleStartError for a delayed report of an earlier start. The caller holds orderMu.
+func (a *Agent) checkStart(rep Report) error {
+	if rep.EngineStart == a.engineStart {
 		return nil
 	}
-	if rep.Born < a.born {
-		return &StartError{
-			Known: a.born,
-			Got:   rep.Born,
+	if rep.EngineStart < a.engineStart {
+		return &StaleStartError{
+			Known: a.engineStart,
+			Got:   rep.EngineStart,
 		}
 	}
-	if a.born != 0 {
-		a.Log.Warn("engine has started again", "born", rep.Born, "before", a.born, "epoch", rep.Epoch)
+	if a.engineStart != 0 {
+		a.Log.Warn("engine restarted", "born", rep.EngineStart, "before", a.engineStart, "epoch", rep.Epoch)
 	}
-	a.born = rep.Born
-	a.copying = shift.None
+	a.engineStart = rep.EngineStart
+	a.preparing = shift.None
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	a.tally = place.Tally{}
--- a/shift/guard.go
+++ b/shift/guard.go
@@ -1,110 +1,124 @@
 package shift
 
 const (
-	// Ahead is how many steps after the last one begun a hold lies at least: the next one, which the engine refuses if it has begun meanwhile.
-	Ahead = 1
-	// AheadLossy is Ahead while orders get lost, so that all ranks are armed before the group comes to the step that is held.
-	AheadLossy = 3
-	// AheadMost is the most that a leader may ask for: half a second of steps of 80 ms, longer than ranks that answer at all take to be armed.
-	AheadMost = 6
+	// MinAhead is the minimum distance of a hold from the last step begun, in steps: the next step,
+	// which the engine refuses to hold if it has begun in the meantime.
+	MinAhead = 1
+	// MinAheadLossy replaces MinAhead while orders get lost, so that all ranks are armed before the
+	// group reaches the held step.
+	MinAheadLossy = 3
+	// MaxAhead is the maximum distance that a leader may ask for: half a second at 80 ms per step,
+	// longer than responsive ranks take to be armed.
+	MaxAhead = 6
 )
 
-// Guard is the part of an agent that decides which orders reach its engine; its zero value has seen nothing.
+// Guard decides which orders of leaders reach the engine of one rank; the zero value has observed
+// no state yet.
 type Guard struct {
 	Fence int64
-	// Asked is the fence of the leader that has last asked for this rank's state; only that one may order anything.
-	Asked int64
-	Epoch int64
-	// Born is the start of the engine that the rest was seen of.
-	Born int64
-	// Floor is the highest step that this rank was ever told to hold or to let go in this epoch.
+	// AskedBy is the fence of the leader that last queried this rank; only that leader may give
+	// orders.
+	AskedBy int64
+	Epoch   int64
+	// EngineStart is the start of the engine that the other fields apply to.
+	EngineStart int64
+	// Floor is the highest step that this rank was told to hold or release in this epoch; new holds
+	// lie above it.
 	Floor int64
-	// Want is the step that the present switch holds here, None without one; Seen is false until the first state.
-	Want int64
-	Seen bool
-	// Lossy makes holds lie AheadLossy steps ahead at least.
+	// HoldStep is the step that the current switch holds on this rank, or None. Observed is false
+	// until the first state.
+	HoldStep int64
+	Observed bool
+	// Lossy makes holds lie at least MinAheadLossy steps ahead.
 	Lossy bool
-	// Most is the farthest that a hold may lie ahead, AheadMost where it is zero; all guards of a group have the same.
-	Most int64
+	// MaxAhead is the maximum distance of a hold, zero for the constant MaxAhead; all guards of a
+	// group must have the same value.
+	MaxAhead int64
 }
 
-// most returns the farthest that a leader may have a hold lie ahead.
-func (g *Guard) most() int64 {
-	if g.Most == 0 {
-		return AheadMost
+// maxAhead returns the maximum distance of a hold that a leader may ask for.
+func (g *Guard) maxAhead() int64 {
+	if g.MaxAhead == 0 {
+		return MaxAhead
 	}
-	return g.Most
+	return g.MaxAhead
 }
 
-// furthest is how many steps after the last one begun a hold may lie, so that a restarted agent knows which steps old orders may name: one
-// more than asked for, since a hold that was let go leaves its step behind.
-func (g *Guard) furthest() int64 {
-	return g.most() + 1
+// holdWindow returns how many steps after the last one begun a hold may lie, so that a restarted
+// agent knows which steps earlier orders may name. It is one more than maxAhead, since a released
+// hold uses up its step.
+func (g *Guard) holdWindow() int64 {
+	return g.maxAhead() + 1
 }
 
-// Answer is what a guard makes of an order.
-type Answer uint8
+// Verdict is a guard's decision on an order.
+type Verdict uint8
 
 const (
-	// AnswerRefused means that the leader is not the newest.
-	AnswerRefused Answer = iota
-	// AnswerWrong means that the order doesn't fit the rank's state, so that the switch can't go on here.
-	AnswerWrong
-	// AnswerDone means that the state already is what the order asks for.
-	AnswerDone
-	// AnswerSend means that the engine has to be told.
-	AnswerSend
-	// AnswerWait means that the engine can't take the order yet.
-	AnswerWait
+	// VerdictRefused means that the leader is not the newest one.
+	VerdictRefused Verdict = iota
+	// VerdictMismatch means that the order does not fit the rank's state and the switch cannot
+	// continue here.
+	VerdictMismatch
+	// VerdictDone means that the rank is already in the state that the order asks for.
+	VerdictDone
+	// VerdictForward means that the order has to be sent to the engine.
+	VerdictForward
+	// VerdictNotReady means that the engine cannot accept the order yet.
+	VerdictNotReady
 )
 
-// Observe takes a fresh state of the rank: a new epoch clears what was held, a first one after a start of this process or of the engine
-// leaves a margin, because orders to the engine's earlier start may name steps to come; a version of a later leader than any seen makes
-// that one the newest.
+// Observe records a fresh state of the rank. A new epoch clears the hold. A restart of this process
+// or of the engine also raises Floor by holdWindow, because orders sent before the restart may name
+// upcoming steps. A map version of a later leader raises Fence to that leader's fence.
 func (g *Guard) Observe(s State) {
-	// An agent that was restarted knows from the engine's versions which leader was the last, and an older one that wakes is refused.
+	// The engine's versions tell a restarted agent which leader was the last, so that it refuses an
+	// older one that resumes.
 	g.Fence = max(g.Fence, fenceOf(s))
-	if g.Seen && s.Epoch == g.Epoch && s.Born == g.Born {
+	if g.Observed && s.Epoch == g.Epoch && s.EngineStart == g.EngineStart {
 		return
 	}
-	again := g.Seen && s.Epoch == g.Epoch
+	restarted := g.Observed && s.Epoch == g.Epoch
 	g.Epoch = s.Epoch
-	g.Born = s.Born
-	g.Want = None
+	g.EngineStart = s.EngineStart
+	g.HoldStep = None
 	g.Floor = 0
-	if again {
-		g.Floor = s.Step + g.furthest()
+	if restarted {
+		g.Floor = s.Step + g.holdWindow()
 	}
-	if !g.Seen {
-		// What is held at the start may protect a switch that is half armed: only a leader, who asks every rank, may end it.
-		g.Floor = s.Step + g.furthest()
-		g.Want = s.Held
+	if !g.Observed {
+		// A hold found at startup may protect a partly armed switch: only a leader, which queries
+		// every rank, may release it.
+		g.Floor = s.Step + g.holdWindow()
+		g.HoldStep = s.Held
 	}
-	g.Seen = true
+	g.Observed = true
 }
 
-// Judge decides on an order under a fresh state and returns the order for the engine, whose step the guard chooses for a hold.
-func (g *Guard) Judge(o Order, s State) (Answer, Order) {
+// Evaluate decides on an order, given a fresh state, and returns the order for the engine. The
+// guard chooses the step of a hold.
+func (g *Guard) Evaluate(o Order, s State) (Verdict, Order) {
 	g.Observe(s)
 	if o.Fence < g.Fence {
-		return AnswerRefused, o
+		return VerdictRefused, o
 	}
 	if o.Fence > g.Fence && s.Held == None {
-		// An older leader's hold that was never seen is wanted no more, should it be carried out after all.
-		g.Want = None
+		// A hold by an older leader that was not observed is orphaned if it is still executed.
+		g.HoldStep = None
 	}
 	g.Fence = o.Fence
-	if g.Unwanted(s) != None {
-		// A leader that saw this hold could build on it, while it is about to be ended.
-		return AnswerWait, o
+	if g.OrphanedHold(s) != None {
+		// The hold is about to be released; a leader that saw it could rely on it.
+		return VerdictNotReady, o
 	}
 	if o.Op == OpAsk {
-		g.Asked = o.Fence
-		return AnswerDone, o
+		g.AskedBy = o.Fence
+		return VerdictDone, o
 	}
-	if g.Asked != o.Fence || o.Epoch != s.Epoch {
-		// After a restart this guard can't tell an old leader from the newest; one that asks all ranks learns it from the others.
-		return AnswerWrong, o
+	if g.AskedBy != o.Fence || o.Epoch != s.Epoch {
+		// A restarted guard cannot tell a stale leader from the newest one; a leader that queries
+		// all ranks learns from the others whether it is stale.
+		return VerdictMismatch, o
 	}
 	switch o.Op {
 	case OpPrepare:
@@ -118,75 +132,76 @@
 	case OpRelease:
 		return g.release(s.Held, o, s)
 	}
-	return AnswerWrong, o
+	return VerdictMismatch, o
 }
 
-func (g *Guard) prepare(o Order, s State) (Answer, Order) {
+func (g *Guard) prepare(o Order, s State) (Verdict, Order) {
 	switch {
 	case s.Prepared == o.Version:
-		return AnswerDone, o
+		return VerdictDone, o
 	case s.Armed != None:
-		return AnswerWait, o
+		return VerdictNotReady, o
 	case s.Map >= o.Version || s.Prepared > o.Version:
-		return AnswerWrong, o
+		return VerdictMismatch, o
 	}
-	return AnswerSend, o
+	return VerdictForward, o
 }
 
-func (g *Guard) hold(o Order, s State) (Answer, Order) {
-	if g.Want != None && s.Held == g.Want {
-		o.Step = g.Want
-		return AnswerDone, o
+func (g *Guard) hold(o Order, s State) (Verdict, Order) {
+	if g.HoldStep != None && s.Held == g.HoldStep {
+		o.Step = g.HoldStep
+		return VerdictDone, o
 	}
 	if s.Held != None || s.Armed != None {
-		return AnswerWait, o
+		return VerdictNotReady, o
 	}
-	// A step whose hold was sent and not seen yet may still be taken while it is to come; a new one is chosen after that.
-	if g.Want == None || g.Want <= s.Step {
+	// A hold that was sent but not observed is resent while its step lies ahead; after that a new
+	// step is chosen.
+	if g.HoldStep == None || g.HoldStep <= s.Step {
 		next := max(s.Step+g.ahead(o), g.Floor+1)
-		if next > s.Step+g.furthest() {
-			return AnswerWait, o
+		if next > s.Step+g.holdWindow() {
+			return VerdictNotReady, o
 		}
-		g.Want = next
+		g.HoldStep = next
 		g.Floor = next
 	}
-	o.Step = g.Want
-	return AnswerSend, o
+	o.Step = g.HoldStep
+	return VerdictForward, o
 }
 
-// ahead returns how many steps ahead the hold of an order has to lie.
+// ahead returns how many steps ahead the hold of an order must lie.
 func (g *Guard) ahead(o Order) int64 {
-	least := int64(Ahead)
+	least := int64(MinAhead)
 	if g.Lossy {
-		least = AheadLossy
+		least = MinAheadLossy
 	}
-	return min(max(least, o.Ahead), g.most())
+	return min(max(least, o.Ahead), g.maxAhead())
 }
 
-func (g *Guard) arm(o Order, s State) (Answer, Order) {
+func (g *Guard) arm(o Order, s State) (Verdict, Order) {
 	switch {
 	case s.Armed == o.Version && s.ArmedStep == o.Step, s.Map == o.Version:
-		return AnswerDone, o
+		return VerdictDone, o
 	case s.Armed != None, s.Prepared != o.Version, s.Step >= o.Step:
-		return AnswerWrong, o
+		return VerdictMismatch, o
 	}
-	return AnswerSend, o
+	return VerdictForward, o
 }
 
-func (g *Guard) release(step int64, o Order, s State) (Answer, Order) {
-	g.Want = None
+func (g *Guard) release(step int64, o Order, s State) (Verdict, Order) {
+	g.HoldStep = None
 	if s.Held == None || s.Held != step {
-		return AnswerDone, o
+		return VerdictDone, o
 	}
 	g.Floor = max(g.Floor, step)
 	o.Op = OpGo
 	o.Step = step
-	return AnswerSend, o
+	return VerdictForward, o
 }
 
-// Unwanted returns a held step that no switch wants, which the agent must let go, or None.
-func (g *Guard) Unwanted(s State) int64 {
-	if !g.Seen || s.Held == None || s.Held == g.Want {
+// OrphanedHold returns a held step that belongs to no switch and must be released, or None.
+func (g *Guard) OrphanedHold(s State) int64 {
+	if !g.Observed || s.Held == None || s.Held == g.HoldStep {
 		return None
 	}
 	return s.Held
--- a/shift/guard_test.go
+++ b/shift/guard_test.go
@@ -2,121 +2,124 @@
 
 import "testing"
 
-// TestOnlyWhoHasAskedMayOrder has orders reach a guard that was restarted: it can't tell an old leader from the newest.
-func TestOnlyWhoHasAskedMayOrder(t *testing.T) {
+// TestGuardRequiresAskBeforeOrders sends orders to a restarted guard, which cannot tell a stale
+// leader from the newest one.
+func TestGuardRequiresAskBeforeOrders(t *testing.T) {
 	tests := []struct {
 		name  string
 		state State
 		asks  []int64
 		fence int64
-		want  Answer
+		want  Verdict
 	}{
-		{"nobody has asked", State{Epoch: 1, Prepared: None, Armed: None, Held: None}, nil, 1, AnswerWrong},
-		{"the leader has asked", State{Epoch: 1, Prepared: None, Armed: None, Held: None}, []int64{1}, 1, AnswerSend},
-		{"a later one has asked since", State{Epoch: 1, Prepared: None, Armed: None, Held: None}, []int64{1, 2}, 1, AnswerRefused},
-		{"the engine has a later one's map", State{Epoch: 1, Map: 2*versionsPerFence + 1, Prepared: None, Armed: None, Held: None}, []int64{1}, 1, AnswerRefused},
+		{"nobody has asked", State{Epoch: 1, Prepared: None, Armed: None, Held: None}, nil, 1, VerdictMismatch},
+		{"the leader has asked", State{Epoch: 1, Prepared: None, Armed: None, Held: None}, []int64{1}, 1, VerdictForward},
+		{"a later one has asked since", State{Epoch: 1, Prepared: None, Armed: None, Held: None}, []int64{1, 2}, 1, VerdictRefused},
+		{"the engine has a later one's map", State{Epoch: 1, Map: 2*versionsPerFence + 1, Prepared: None, Armed: None, Held: None}, []int64{1}, 1, VerdictRefused},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			var g Guard
 			for _, fence := range tt.asks {
-				g.Judge(Order{Fence: fence, Op: OpAsk}, tt.state)
+				g.Evaluate(Order{Fence: fence, Op: OpAsk}, tt.state)
 			}
 			o := Order{Fence: tt.fence, Op: OpPrepare, Epoch: 1, Version: tt.fence*versionsPerFence + 1}
-			if got, _ := g.Judge(o, tt.state); got != tt.want {
+			if got, _ := g.Evaluate(o, tt.state); got != tt.want {
 				t.Errorf("got %d, want %d", got, tt.want)
 			}
 		})
 	}
 }
 
-// TestEngineThatStartsAgain has an engine start again within one epoch: what its earlier start held is gone, and a late order to that may
-// still name a step to come.
-func TestEngineThatStartsAgain(t *testing.T) {
-	s := State{Born: 100, Epoch: 1, Step: 1, Prepared: None, Armed: None, Held: None}
+// TestGuardAfterEngineRestart restarts an engine within one epoch: its holds are gone, and a late
+// order to the earlier start may still name an upcoming step.
+func TestGuardAfterEngineRestart(t *testing.T) {
+	s := State{EngineStart: 100, Epoch: 1, Step: 1, Prepared: None, Armed: None, Held: None}
 	var g Guard
-	g.Judge(Order{Fence: 1, Op: OpAsk}, s)
+	g.Evaluate(Order{Fence: 1, Op: OpAsk}, s)
 	s.Step = 20
-	ans, first := g.Judge(Order{Fence: 1, Op: OpHold, Epoch: 1}, s)
-	if ans != AnswerSend {
-		t.Fatalf("a hold was not sent: %d", ans)
+	ans, first := g.Evaluate(Order{Fence: 1, Op: OpHold, Epoch: 1}, s)
+	if ans != VerdictForward {
+		t.Fatalf("hold not forwarded: verdict %d", ans)
 	}
-	s.Born = 200
+	s.EngineStart = 200
 	g.Observe(s)
 	late := s
 	late.Held = first.Step
-	if g.Unwanted(late) != first.Step {
-		t.Error("a late hold of the earlier start counts as wanted")
+	if g.OrphanedHold(late) != first.Step {
+		t.Error("a late hold of the earlier engine start is not orphaned")
 	}
-	if ans, early := g.Judge(Order{Fence: 1, Op: OpHold, Epoch: 1}, s); ans == AnswerSend && early.Step <= s.Step+g.furthest() {
-		t.Errorf("step %d is held while a late order to the earlier start may name it", early.Step)
+	if ans, early := g.Evaluate(Order{Fence: 1, Op: OpHold, Epoch: 1}, s); ans == VerdictForward && early.Step <= s.Step+g.holdWindow() {
+		t.Errorf("step %d is held although a late order to the earlier engine start may name it", early.Step)
 	}
-	s.Step += g.furthest()
-	ans, second := g.Judge(Order{Fence: 1, Op: OpHold, Epoch: 1}, s)
-	if ans != AnswerSend || second.Step <= first.Step {
-		t.Errorf("answer %d, step %d after step %d was held at the earlier start", ans, second.Step, first.Step)
+	s.Step += g.holdWindow()
+	ans, second := g.Evaluate(Order{Fence: 1, Op: OpHold, Epoch: 1}, s)
+	if ans != VerdictForward || second.Step <= first.Step {
+		t.Errorf("verdict %d, step %d after step %d was held at the earlier engine start", ans, second.Step, first.Step)
 	}
 }
 
-// TestLeaderMeetsAnotherStart has a rank's engine start again in the middle of a switch, and a late word of its earlier start come after.
-func TestLeaderMeetsAnotherStart(t *testing.T) {
-	s := State{Born: 100, Epoch: 1, Open: true, Prepared: None, Armed: None, Held: None}
+// TestLeaderAfterEngineRestart restarts a rank's engine during a switch and then delivers a delayed
+// state of the earlier start.
+func TestLeaderAfterEngineRestart(t *testing.T) {
+	s := State{EngineStart: 100, Epoch: 1, Open: true, Prepared: None, Armed: None, Held: None}
 	l := NewLeader(1, 1)
-	l.Answered(0, Order{Fence: 1, Op: OpAsk}, true, s)
-	if _, ok := l.Begin(0, Ahead); !ok {
-		t.Fatal("no switch begun")
+	l.HandleAnswer(0, Order{Fence: 1, Op: OpAsk}, true, s)
+	if _, ok := l.Begin(0, MinAhead); !ok {
+		t.Fatal("switch did not start")
 	}
 	again := s
-	again.Born = 200
-	l.Take(0, again)
+	again.EngineStart = 200
+	l.Observe(0, again)
 	if l.Phase != PhaseAsk {
-		t.Errorf("in phase %s after the engine started again, want to ask all", l.Phase)
+		t.Errorf("phase %s after an engine restart, want ask", l.Phase)
 	}
-	l.Answered(0, Order{Fence: 1, Op: OpAsk}, true, s)
+	l.HandleAnswer(0, Order{Fence: 1, Op: OpAsk}, true, s)
 	if l.Phase != PhaseAsk {
-		t.Errorf("in phase %s after an answer of the earlier start, want to ask on", l.Phase)
+		t.Errorf("phase %s after a stale answer of the earlier engine start, want ask", l.Phase)
 	}
-	l.Answered(0, Order{Fence: 1, Op: OpAsk}, true, again)
-	l.Take(0, s)
-	if l.Phase != PhaseIdle || l.Ranks[0].Born != 200 {
-		t.Errorf("a late word of the earlier start changed phase %s, born %d", l.Phase, l.Ranks[0].Born)
+	l.HandleAnswer(0, Order{Fence: 1, Op: OpAsk}, true, again)
+	l.Observe(0, s)
+	if l.Phase != PhaseIdle || l.Ranks[0].EngineStart != 200 {
+		t.Errorf("after a stale state of the earlier engine start: phase %s, engine start %d", l.Phase, l.Ranks[0].EngineStart)
 	}
 }
 
-// TestHoldLiesAsFarAheadAsAsked has a leader ask for holds at several distances, within what a restarted agent can reckon with.
-func TestHoldLiesAsFarAheadAsAsked(t *testing.T) {
+// TestHoldDistance checks the distance of a hold for several requested distances, up to the limit
+// that a restarted agent relies on.
+func TestHoldDistance(t *testing.T) {
 	tests := []struct {
 		name  string
 		asked int64
 		lossy bool
 		want  int64
 	}{
-		{"a leader that asks for none", 0, false, Ahead},
+		{"a leader that asks for none", 0, false, MinAhead},
 		{"the next step", 1, false, 1},
 		{"four steps", 4, false, 4},
-		{"as far as may be", AheadMost, false, AheadMost},
-		{"farther", AheadMost + 5, false, AheadMost},
-		{"near while orders get lost here", 1, true, AheadLossy},
+		{"as far as may be", MaxAhead, false, MaxAhead},
+		{"farther", MaxAhead + 5, false, MaxAhead},
+		{"near while orders get lost here", 1, true, MinAheadLossy},
 		{"far while orders get lost here", 5, true, 5},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			s := State{Epoch: 1, Open: true, Step: 20, Prepared: None, Armed: None, Held: None}
 			l := NewLeader(1, 1)
-			l.Answered(0, Order{Fence: 1, Op: OpAsk}, true, s)
+			l.HandleAnswer(0, Order{Fence: 1, Op: OpAsk}, true, s)
 			if _, ok := l.Begin(0, tt.asked); !ok {
-				t.Fatal("no switch begun")
+				t.Fatal("switch did not start")
 			}
 			prepare := l.Orders()[0]
 			s.Prepared = l.Version
-			l.Answered(0, prepare, true, s)
+			l.HandleAnswer(0, prepare, true, s)
 			g := Guard{Lossy: tt.lossy}
-			// The margin after a start is long behind.
+			// The raised Floor after a restart has been passed.
 			g.Observe(State{Epoch: 1, Open: true, Prepared: None, Armed: None, Held: None})
-			g.Judge(Order{Fence: 1, Op: OpAsk}, s)
-			ans, send := g.Judge(l.Orders()[0], s)
-			if ans != AnswerSend || send.Op != OpHold || send.Step != s.Step+tt.want {
-				t.Errorf("answer %d, %s of step %d, want a hold %d ahead of %d", ans, send.Op, send.Step, tt.want, s.Step)
+			g.Evaluate(Order{Fence: 1, Op: OpAsk}, s)
+			ans, send := g.Evaluate(l.Orders()[0], s)
+			if ans != VerdictForward || send.Op != OpHold || send.Step != s.Step+tt.want {
+				t.Errorf("verdict %d, %s of step %d, want a hold %d ahead of %d", ans, send.Op, send.Step, tt.want, s.Step)
 			}
 		})
 	}
--- a/shift/leader.go
+++ b/shift/leader.go
@@ -1,33 +1,37 @@
 package shift
 
-// Leader decides what the ranks of one group are ordered; it is a value of its ranks' answers only.
+// Leader is a state machine that decides which orders the ranks of one group get; its only inputs
+// are the ranks' reports and answers.
 type Leader struct {
 	Fence int64
 	Phase Phase
 	Epoch int64
-	// Version and Step are those of the present switch.
+	// Version and Step belong to the current switch.
 	Version int64
 	Step    int64
-	// Ahead is how many steps ahead the hold of the present switch has to lie.
+	// Ahead is how many steps ahead the hold of the current switch must lie.
 	Ahead int64
 	// Holder is the rank that holds the step.
 	Holder int
-	// Ranks is what is known of each rank; Done marks those that have confirmed the present phase.
+	// Ranks is the last known state of each rank; Done marks the ranks that have confirmed the
+	// current phase.
 	Ranks []State
 	Done  []bool
-	// Next is the version of the next switch.
+	// Next is a lower bound: the next switch gets a higher version.
 	Next int64
 }
 
-// versionsPerFence leaves each leader versions of its own above those of all before it, so that a version tells who gave it.
+// versionsPerFence reserves a range of versions for each leader, above those of all earlier
+// leaders, so that a version identifies the leader that issued it.
 const versionsPerFence = 100_000
 
-// fenceOf returns the fence of the leader that gave the newest version of a rank, zero for the first map's.
+// fenceOf returns the fence of the leader that issued a rank's newest version, zero for the initial
+// map.
 func fenceOf(s State) int64 {
 	return max(s.Map, s.Prepared, s.Armed) / versionsPerFence
 }
 
-// IsReplaced returns true when a rank has a version of a later leader.
+// IsReplaced reports whether a rank has a version of a later leader.
 func (l *Leader) IsReplaced() bool {
 	for _, s := range l.Ranks {
 		if fenceOf(s) > l.Fence {
@@ -37,7 +41,7 @@
 	return false
 }
 
-// NewLeader returns a leader that has to ask all ranks before it does anything.
+// NewLeader returns a leader that queries all ranks before it does anything else.
 func NewLeader(fence int64, size int) *Leader {
 	return &Leader{
 		Fence: fence,
@@ -47,7 +51,7 @@
 	}
 }
 
-// Clone returns a copy that shares nothing.
+// Clone returns a deep copy.
 func (l *Leader) Clone() *Leader {
 	c := *l
 	c.Ranks = append([]State(nil), l.Ranks...)
@@ -55,11 +59,12 @@
 	return &c
 }
 
-// Orders returns by rank what has to be confirmed for the present phase to end; ranks that are done have OpAsk's zero value.
+// Orders returns, by rank, the orders that must be confirmed before the current phase ends; ranks
+// without one get the zero Order.
 func (l *Leader) Orders() []Order {
 	out := make([]Order, len(l.Ranks))
 	for r := range out {
-		op, needed := l.op(r)
+		op, needed := l.pendingOp(r)
 		if !needed {
 			continue
 		}
@@ -77,9 +82,9 @@
 	return out
 }
 
-func (l *Leader) op(r int) (Op, bool) {
+func (l *Leader) pendingOp(r int) (Op, bool) {
 	if l.Phase != PhaseAsk && l.Ranks[r].Held != None && r != l.Holder {
-		// A hold elsewhere is one that was carried out late and protects nothing.
+		// A hold on another rank was executed late and protects nothing.
 		return OpRelease, true
 	}
 	if l.Done[r] {
@@ -103,15 +108,16 @@
 	return 0, false
 }
 
-// Begin starts a switch of all ranks, with the hold at one of them and so many steps ahead, and returns its version; ok is false while
-// another is under way.
+// Begin starts a switch of all ranks, with the hold on the given rank and the given number of steps
+// ahead, and returns its version. ok is false while another switch is in progress.
 func (l *Leader) Begin(holder int, ahead int64) (version int64, ok bool) {
 	if l.Phase != PhaseIdle || l.IsReplaced() {
 		return 0, false
 	}
 	l.Next++
 	for _, s := range l.Ranks {
-		// The switch just confirmed by all may still be on its way; a rank takes nothing new before its step has begun.
+		// Ranks may still be armed for the switch just confirmed; they accept nothing new before
+		// its step has begun.
 		if s.Armed != None && s.Armed != l.Version || s.Held != None && s.Held != l.Step || !s.Open {
 			return 0, false
 		}
@@ -124,7 +130,7 @@
 	return l.Version, true
 }
 
-// Abandon gives a switch up that has not armed anything yet and returns false when there is none.
+// Abandon gives up a switch that has not armed any rank yet and reports whether there was one.
 func (l *Leader) Abandon() bool {
 	switch l.Phase {
 	case PhasePrepare:
@@ -138,43 +144,45 @@
 	return false
 }
 
-// Take takes a state that a rank sent unasked; a new epoch or a new start of the rank's engine makes the leader ask anew. A late word of
-// an earlier start changes nothing.
-func (l *Leader) Take(r int, s State) {
+// Observe records an unsolicited state of a rank. A new epoch, a new start of the rank's engine or
+// a closed rank makes the leader query all ranks again. A delayed state of an earlier start is
+// ignored.
+func (l *Leader) Observe(r int, s State) {
 	old := l.Ranks[r]
-	if s.Epoch == old.Epoch && s.Born < old.Born {
+	if s.Epoch == old.Epoch && s.EngineStart < old.EngineStart {
 		return
 	}
 	l.Ranks[r] = s
-	if l.Phase != PhaseAsk && (s.Epoch != l.Epoch || s.Born != old.Born || !s.Open) {
-		l.again()
+	if l.Phase != PhaseAsk && (s.Epoch != l.Epoch || s.EngineStart != old.EngineStart || !s.Open) {
+		l.askAll()
 	}
 }
 
-// Answered takes a rank's answer to an order of the present phase.
-func (l *Leader) Answered(r int, o Order, done bool, s State) {
-	current, needed := l.op(r)
-	if s.Epoch == l.Ranks[r].Epoch && s.Born < l.Ranks[r].Born {
+// HandleAnswer records a rank's answer to an order of the current phase.
+func (l *Leader) HandleAnswer(r int, o Order, done bool, s State) {
+	current, needed := l.pendingOp(r)
+	if s.Epoch == l.Ranks[r].Epoch && s.EngineStart < l.Ranks[r].EngineStart {
 		return
 	}
-	l.Take(r, s)
+	l.Observe(r, s)
 	if !needed || current != o.Op || o.Fence != l.Fence {
 		return
 	}
-	if now, still := l.op(r); !still || now != o.Op {
+	if op, pending := l.pendingOp(r); !pending || op != o.Op {
 		return
 	}
 	if l.Phase == PhaseAsk {
 		l.Done[r] = s.Open
-		l.decide()
+		l.resumeSwitch()
 		return
 	}
 	if o.Epoch != l.Epoch || o.Op == OpRelease && r != l.Holder || o.Op == OpArm && (o.Step != l.Step || o.Version != l.Version) {
 		return
 	}
 	if !done {
-		// The order doesn't fit the rank's state, or the rank doesn't know this leader: all ranks tell what to go on from.
-		l.again()
+		// The order does not fit the rank's state, or the rank does not know this leader: query all
+		// ranks for the state to resume from.
+		l.askAll()
 		return
 	}
 	l.Done[r] = true
@@ -184,14 +192,14 @@
 func (l *Leader) advance(r int, s State) {
 	switch l.Phase {
 	case PhasePrepare:
-		if l.all() {
+		if l.allDone() {
 			l.enter(PhaseHold)
 		}
 	case PhaseHold:
 		l.Step = s.Held
 		l.enter(PhaseArm)
 	case PhaseArm:
-		if l.all() {
+		if l.allDone() {
 			l.enter(PhaseGo)
 		}
 	case PhaseGo, PhaseRelease:
@@ -201,15 +209,16 @@
 	}
 }
 
-// decide settles, once every rank has answered, what an earlier leader may have left behind.
-func (l *Leader) decide() {
+// resumeSwitch completes or releases, once every rank has answered, a switch that an earlier leader
+// left behind.
+func (l *Leader) resumeSwitch() {
 	epoch := l.Ranks[0].Epoch
 	for r, s := range l.Ranks {
 		if !l.Done[r] {
 			return
 		}
 		if s.Epoch != epoch {
-			l.again()
+			l.askAll()
 			return
 		}
 	}
@@ -238,7 +247,7 @@
 		l.enter(PhaseIdle)
 		return
 	}
-	if v, alike := l.prepared(); alike {
+	if v, alike := l.commonPrepared(); alike {
 		l.Version = v
 		l.Step = held
 		l.enter(PhaseArm)
@@ -248,8 +257,9 @@
 	l.enter(PhaseRelease)
 }
 
-// prepared returns the version that all ranks have prepared, when it is one.
-func (l *Leader) prepared() (int64, bool) {
+// commonPrepared returns the version that all ranks have prepared, if they have prepared the same
+// one.
+func (l *Leader) commonPrepared() (int64, bool) {
 	v := l.Ranks[0].Prepared
 	for _, s := range l.Ranks {
 		if s.Prepared != v || v == None {
@@ -259,7 +269,7 @@
 	return v, true
 }
 
-func (l *Leader) all() bool {
+func (l *Leader) allDone() bool {
 	for _, d := range l.Done {
 		if !d {
 			return false
@@ -273,14 +283,14 @@
 	clear(l.Done)
 }
 
-// Ask makes a leader without a switch under way ask every rank anew.
+// Ask makes a leader query every rank again, unless a switch is in progress.
 func (l *Leader) Ask() {
 	if l.Phase == PhaseIdle {
-		l.again()
+		l.askAll()
 	}
 }
 
-// again makes the leader ask every rank anew.
-func (l *Leader) again() {
+// askAll starts the phase in which the leader queries every rank.
+func (l *Leader) askAll() {
 	l.enter(PhaseAsk)
 }
--- a/shift/margin.go
+++ b/shift/margin.go
@@ -7,86 +7,94 @@
 )
 
 const (
-	// spansKept is how many switches Margin remembers at most: the longest of them bounds nearly all of those to come.
-	spansKept = 16
-	// spansLeast is how many it remembers however old they are, for groups that switch seldom.
-	spansLeast = 4
-	// spanTime is how long it remembers more than those: orders that went unanswered for a while say nothing of the time after it.
-	spanTime = 5 * time.Second
-	// stepsOver is the least time over which the time of a step is taken: several steps, seen with a jitter of some 20 ms.
-	stepsOver = 500 * time.Millisecond
+	// maxSamples is the maximum number of switches remembered: the longest of them bounds nearly
+	// all later ones.
+	maxSamples = 16
+	// minSamples is the number of switches kept regardless of age, for groups that switch rarely.
+	minSamples = 4
+	// sampleTTL is the age limit of the samples beyond minSamples: a period of lost orders says
+	// nothing about the time after it.
+	sampleTTL = 5 * time.Second
+	// stepWindow is the minimum period over which the step time is averaged: several steps, since
+	// observations jitter by about 20 ms.
+	stepWindow = 500 * time.Millisecond
 )
 
-// Margin learns how many steps ahead a hold has to lie so that all ranks are armed, and the hold let go, before the group comes to it. A hold that
-// is too near stops every stream of the group; each step that it is too far makes a switch later by that step. Its zero
-// value has seen nothing.
+// Margin estimates how many steps ahead a hold must lie so that all ranks are armed, and the hold
+// is released, before the group reaches it. A hold that is too near stalls every stream of the
+// group; each step that it is too far delays the switch by that step. The zero value has no
+// samples.
 type Margin struct {
-	// spans are the newest switches, the oldest first.
-	spans []span
-	// step is the time of a step, zero before it was seen.
-	step time.Duration
-	// first and last are the steps over which the next time is taken, seen to have begun at firstAt and lastAt.
-	first, last     int64
-	firstAt, lastAt time.Time
+	// samples holds the latest switches, oldest first.
+	samples []switchSample
+	// stepTime is the average time per step, zero before it is known.
+	stepTime time.Duration
+	// The next average covers firstStep to lastStep, observed at firstAt and lastAt.
+	firstStep, lastStep int64
+	firstAt, lastAt     time.Time
 }
 
-// span is how long a switch took from the order to hold to the end of the hold, and when it ended.
-type span struct {
-	took time.Duration
-	at   time.Time
+// switchSample is the time from a hold order to the release of the hold, and when the hold was
+// released.
+type switchSample struct {
+	duration time.Duration
+	endedAt  time.Time
 }
 
-// Stepped takes the last step that the group has begun, as often as it is looked at.
-func (m *Margin) Stepped(now time.Time, step int64) {
-	if step < m.last || now.Sub(m.lastAt) > stepsOver {
-		// The group has formed anew, or it rested.
-		m.first, m.firstAt = step, now
-		m.last, m.lastAt = step, now
+// ObserveStep records the last step that the group has begun; it may be called repeatedly with the
+// same step.
+func (m *Margin) ObserveStep(now time.Time, step int64) {
+	if step < m.lastStep || now.Sub(m.lastAt) > stepWindow {
+		// The group has re-formed or was idle.
+		m.firstStep, m.firstAt = step, now
+		m.lastStep, m.lastAt = step, now
 		return
 	}
-	if step == m.last {
+	if step == m.lastStep {
 		return
 	}
-	m.last, m.lastAt = step, now
-	if past := m.lastAt.Sub(m.firstAt); past >= stepsOver {
-		m.take(past / time.Duration(m.last-m.first))
-		m.first, m.firstAt = step, now
+	m.lastStep, m.lastAt = step, now
+	if elapsed := m.lastAt.Sub(m.firstAt); elapsed >= stepWindow {
+		m.addStepTime(elapsed / time.Duration(m.lastStep-m.firstStep))
+		m.firstStep, m.firstAt = step, now
 	}
 }
 
-// take averages the time of a step over some seconds, in which batches come and go.
-func (m *Margin) take(step time.Duration) {
-	if m.step == 0 {
-		m.step = step
+// addStepTime updates the moving average of the step time, which spans a few seconds to smooth the
+// effect of batches.
+func (m *Margin) addStepTime(step time.Duration) {
+	if m.stepTime == 0 {
+		m.stepTime = step
 		return
 	}
-	m.step += (step - m.step) / 4
+	m.stepTime += (step - m.stepTime) / 4
 }
 
-// Switched takes how long a switch that ends now took from the order to hold to the end of the hold.
-func (m *Margin) Switched(now time.Time, took time.Duration) {
-	m.spans = append(m.spans, span{
-		took: took,
-		at:   now,
+// ObserveSwitch records a switch that ends now, with the time from the hold order to the release of
+// the hold.
+func (m *Margin) ObserveSwitch(now time.Time, duration time.Duration) {
+	m.samples = append(m.samples, switchSample{
+		duration: duration,
+		endedAt:  now,
 	})
-	m.forget(now)
+	m.evictSamples(now)
 }
 
-// forget drops the switches that say nothing of the next one.
-func (m *Margin) forget(now time.Time) {
-	for len(m.spans) > spansKept || len(m.spans) > spansLeast && now.Sub(m.spans[0].at) > spanTime {
-		m.spans = slices.Delete(m.spans, 0, 1)
+// evictSamples drops switches that are too many or too old to predict the next one.
+func (m *Margin) evictSamples(now time.Time) {
+	for len(m.samples) > maxSamples || len(m.samples) > minSamples && now.Sub(m.samples[0].endedAt) > sampleTTL {
+		m.samples = slices.Delete(m.samples, 0, 1)
 	}
 }
 
-// Ahead returns how many steps ahead the next hold has to lie.
+// Ahead returns how many steps ahead the next hold must lie.
 func (m *Margin) Ahead(now time.Time) int64 {
-	m.forget(now)
-	if m.step <= 0 || len(m.spans) == 0 {
-		return AheadLossy
+	m.evictSamples(now)
+	if m.stepTime <= 0 || len(m.samples) == 0 {
+		return MinAheadLossy
 	}
-	longest := slices.MaxFunc(m.spans, func(a, b span) int { return cmp.Compare(a.took, b.took) }).took
-	// The step after the last one begun may begin at once.
-	ahead := 1 + (longest+m.step-1)/m.step
-	return min(max(int64(ahead), Ahead), AheadMost)
+	longest := slices.MaxFunc(m.samples, func(a, b switchSample) int { return cmp.Compare(a.duration, b.duration) }).duration
+	// The step after the last one begun may begin immediately.
+	ahead := 1 + (longest+m.stepTime-1)/m.stepTime
+	return min(max(int64(ahead), MinAhead), MaxAhead)
 }
--- a/shift/op.go
+++ b/shift/op.go
@@ -1,25 +1,25 @@
 package shift
 
-// Op is what a leader orders a guard to do.
+// Op is the kind of an order from a leader to a guard.
 type Op uint8
 
 // The orders of a switch.
 const (
-	// OpAsk changes nothing but the fence.
+	// OpAsk queries the rank's state and sets the fence.
 	OpAsk Op = iota + 1
 	// OpPrepare loads the experts of a new map.
 	OpPrepare
-	// OpHold keeps the next free step from beginning.
+	// OpHold keeps an upcoming step, chosen by the guard, from beginning.
 	OpHold
-	// OpArm switches to the prepared map as the held step begins.
+	// OpArm switches to the prepared map when the held step begins.
 	OpArm
-	// OpGo ends the hold.
+	// OpGo releases the hold of a step.
 	OpGo
-	// OpRelease ends whatever is held, for a switch that is given up.
+	// OpRelease releases any hold, for a switch that was abandoned.
 	OpRelease
 )
 
-// String returns the order as logs show it.
+// String returns the name of the order for logs.
 func (o Op) String() string {
 	names := [...]string{"none", "ask", "prepare", "hold", "arm", "go", "release"}
 	if int(o) < len(names) {
--- a/shift/phase.go
+++ b/shift/phase.go
@@ -1,9 +1,9 @@
 package shift
 
-// Phase is how far a leader's switch has come.
+// Phase is the progress of a leader's switch.
 type Phase uint8
 
-// The phases of a leader; from PhaseArm on there is only forward.
+// The phases of a leader. From PhaseArm on a switch can only be completed.
 const (
 	PhaseAsk Phase = iota
 	PhaseIdle
@@ -14,7 +14,7 @@
 	PhaseRelease
 )
 
-// String returns the phase as logs show it.
+// String returns the name of the phase for logs.
 func (p Phase) String() string {
 	return [...]string{"ask", "idle", "prepare", "hold", "arm", "go", "release"}[p]
 }
--- a/shift/state.go
+++ b/shift/state.go
@@ -3,17 +3,17 @@
 // None stands for no step and no version.
 const None = -1
 
-// State is what a rank reports.
+// State is the state that a rank reports.
 type State struct {
-	// Born is when the rank's engine started, in Unix milliseconds, zero when it doesn't say.
-	Born  int64
-	Epoch int64
-	// Open is false while the group is not whole.
+	// EngineStart is when the rank's engine started, in Unix milliseconds, or zero if unknown.
+	EngineStart int64
+	Epoch       int64
+	// Open is false while the group is incomplete.
 	Open bool
 	// Step is the last step begun.
 	Step int64
 	Map  int64
-	// Prepared and Armed are versions, Held a step; None when there is none.
+	// Prepared and Armed are map versions, Held is a step; each is None if there is none.
 	Prepared  int64
 	Armed     int64
 	ArmedStep int64
--- a/shift/world_test.go
+++ b/shift/world_test.go
@@ -2,32 +2,32 @@
 
 const ranks = 2
 
-// engine is a rank as the platform's pages describe it.
+// engine models a rank as documented by the platform.
 type engine struct {
 	Map, Prepared, Armed, ArmedStep, Held int64
 }
 
-// late is an order that got no answer and may be carried out at any later moment; Op is 0 for none.
-type late struct {
+// lateOrder is an order without an answer that may be executed at any later time; Op is 0 for none.
+type lateOrder struct {
 	Epoch int64
 	Rank  int
 	Op    Op
 	V, N  int64
 }
 
-// lead is a Leader in a form that can be a key.
-type lead struct {
-	Alive   bool
-	Phase   Phase
-	Epoch   int64
-	Version int64
-	Step    int64
-	Ahead   int64
-	Holder  int
-	Ranks   [ranks]State
-	Done    [ranks]bool
-	Next    int64
-	Begun   int
+// leaderState is a Leader in a comparable form that can be a map key.
+type leaderState struct {
+	Alive    bool
+	Phase    Phase
+	Epoch    int64
+	Version  int64
+	Step     int64
+	Ahead    int64
+	Holder   int
+	Ranks    [ranks]State
+	Done     [ranks]bool
+	Next     int64
+	Switches int
 }
 
 type world struct {
@@ -35,12 +35,12 @@
 	Epoch    int64
 	Engines  [ranks]engine
 	Guards   [ranks]Guard
-	Late     [2]late
-	Leads    [2]lead
+	Late     [2]lateOrder
+	Leaders  [2]leaderState
 	Restarts int
 }
 
-// bounds is what one exploration may do.
+// bounds limits one exploration.
 type bounds struct {
 	steps    int64
 	late     int
@@ -49,14 +49,15 @@
 	restarts int
 	breaks   int64
 	states   int
-	// most is the farthest that a hold may lie ahead; with a small one a few steps are enough to come to every case.
-	most     int64
+	// maxAhead is the maximum distance of a hold; with a small one a few steps cover every case.
+	maxAhead int64
 	mutation string
 }
 
-// outruns returns true when a rank has prepared something later than what another is armed with for a step that is still to come: it can
-// never be armed alike, so that the group stands for good.
-func (w *world) outruns(e engine) bool {
+// cannotArm reports whether a rank has prepared a later version than one that another rank is armed
+// with for an upcoming step: it can never be armed with the same version, so the group stalls
+// permanently.
+func (w *world) cannotArm(e engine) bool {
 	for _, other := range w.Engines {
 		if other.Armed != None && other.ArmedStep > w.Step && e.Armed == None && e.Map != other.Armed && e.Prepared > other.Armed {
 			return true
@@ -79,7 +80,8 @@
 	}
 }
 
-// execute carries an order out as the platform's engines do: it changes nothing where they would refuse.
+// execute executes an order as the platform's engines do: it changes nothing if they would refuse
+// it.
 func (w *world) execute(r int, op Op, epoch, v, n int64) {
 	if epoch != w.Epoch {
 		return
@@ -105,7 +107,7 @@
 	}
 }
 
-func (w *world) begin() bool {
+func (w *world) beginStep() bool {
 	next := w.Step + 1
 	for _, e := range w.Engines {
 		if e.Held == next {
@@ -123,7 +125,7 @@
 	return true
 }
 
-func (w *world) addLate(most int, l late) bool {
+func (w *world) addLate(most int, l lateOrder) bool {
 	for i := range min(most, len(w.Late)) {
 		if w.Late[i] == l {
 			return false
@@ -136,7 +138,7 @@
 	return false
 }
 
-func (l lead) leader(fence int64) *Leader {
+func (l leaderState) leader(fence int64) *Leader {
 	return &Leader{
 		Fence:   fence,
 		Phase:   l.Phase,
@@ -151,7 +153,7 @@
 	}
 }
 
-func (l *lead) set(from *Leader) {
+func (l *leaderState) set(from *Leader) {
 	l.Phase, l.Epoch, l.Version, l.Step = from.Phase, from.Epoch, from.Version, from.Step
 	l.Ahead, l.Holder, l.Next = from.Ahead, from.Holder, from.Next
 	copy(l.Ranks[:], from.Ranks)
