--- a/crash/keeper.go
+++ b/crash/keeper.go
@@ -52,11 +52,11 @@
 		if local := p.Registry.Local(); len(local) > 0 {
 			if err := p.write(ctx, local); err != nil {
 				p.Log.Warn("writing instance terminations to the store failed", "error", err)
-				retry.Pause(ctx, wait.NextBackOff())
+				retry.Sleep(ctx, wait.NextBackOff())
 				continue
 			}
 			wait.Reset()
-			retry.Pause(ctx, writeInterval)
+			retry.Sleep(ctx, writeInterval)
 		}
 		select {
 		case <-ctx.Done():
--- a/gate/attempt.go
+++ b/gate/attempt.go
@@ -16,37 +16,42 @@
 )
 
 const (
-	// maxStrayAnswers is how many answers to others are passed over in wait for the own one.
+	// maxStrayAnswers limits how many answers to other requests are skipped on a connection.
 	maxStrayAnswers = 2
-	// patienceAims is how many times its aim an idempotent request waits at one instance before another is asked.
-	patienceAims = 2.5
-	// streamPatienceAims is the same for a stream's first event: callers leave after five times the aim, and a queue is no silence.
-	streamPatienceAims = 3.0
-	// silencePoll is how often it is looked again whether other instances answer.
-	silencePoll = 150 * time.Millisecond
-	// minPatience keeps instances from being left for a usual delay.
-	minPatience = 200 * time.Millisecond
+	// silenceTimeoutFactor times the route's target latency is how long an idempotent request waits
+	// for an instance to answer before it fails over.
+	silenceTimeoutFactor = 2.5
+	// streamSilenceTimeoutFactor is the same for the first event of a stream. It stays below the
+	// five times the target latency after which callers disconnect, and is larger because queuing
+	// is not silence.
+	streamSilenceTimeoutFactor = 3.0
+	// silencePollInterval is how often a waiting attempt checks again whether other instances
+	// answer.
+	silencePollInterval = 150 * time.Millisecond
+	// minSilenceTimeout keeps a normal delay from causing a failover.
+	minSilenceTimeout = 200 * time.Millisecond
 )
 
 // attempt is one send of a request to an instance over one connection.
 type attempt struct {
-	r     *request
-	in    core.Instance
-	conn  *pool.Conn
-	reply Reply
-	// finished is true once the connection has been kept or discarded.
-	finished bool
-	// sound is true once the instance has begun a sound answer.
-	sound bool
-	// cut is true once the instance has ended the connection before the end of its answer.
-	cut bool
+	r        *request
+	instance core.Instance
+	conn     *pool.Conn
+	reply    Reply
+	// reuseConn is set once the answer was read completely and the connection can be reused.
+	reuseConn bool
+	// verified is set once the instance has begun a verified answer.
+	verified bool
+	// disconnected is set when the instance closed the connection before the end of its answer.
+	disconnected bool
 }
 
-// run sends the request and handles what comes back.
+// run sends the request and handles the answer.
 func (a *attempt) run() (verdict, int) {
 	r := a.r
 	var resp *http.Response
-	// Closing a body reads the rest of it, so that it comes after the connection was reset or given back.
+	// Closing a body reads the rest of it, so this runs after the connection was aborted or
+	// released.
 	defer func() {
 		if resp != nil {
 			_ = resp.Body.Close()
@@ -54,105 +59,108 @@
 	}()
 	stop := context.AfterFunc(a.r.ctx, a.conn.Abort)
 	defer func() {
-		// A connection that the caller's leaving has closed is never kept.
-		if stop() && a.finished {
-			a.conn.Keep(a.reply.Idle)
+		// A connection that was aborted because the caller disconnected is never reused.
+		if stop() && a.reuseConn {
+			a.conn.Release(a.reply.Idle)
 			return
 		}
 		a.conn.Abort()
 		a.conn.Discard()
 	}()
-	_ = a.conn.SetDeadline(r.until)
-	if n, err := a.conn.Write(a.message()); err != nil && n == 0 {
+	_ = a.conn.SetDeadline(r.deadline)
+	if n, err := a.conn.Write(a.encode()); err != nil && n == 0 {
 		a.r.reason = "not_sent"
-		return a.gone(verdictUnsent), 0
+		return a.orCallerGone(verdictNotSent), 0
 	}
 	a.r.sends++
 	sent := r.g.clock.Now()
-	r.g.loads.waits(a.in.Start(), sent)
-	err := a.awaitFirst(sent)
-	r.g.loads.waited(a.in.Start(), sent)
+	r.g.loads.addWaiting(a.instance.Start(), sent)
+	err := a.awaitFirstByte(sent)
+	r.g.loads.removeWaiting(a.instance.Start(), sent)
 	if err != nil {
-		return a.unanswered(err), 0
+		return a.recordNoAnswer(err), 0
 	}
-	if r.begun.IsZero() {
-		r.begun = r.g.clock.Now()
+	if r.firstByteAt.IsZero() {
+		r.firstByteAt = r.g.clock.Now()
 	}
-	if resp, err = a.read(); err != nil {
-		return a.unanswered(err), 0
+	if resp, err = a.readHead(); err != nil {
+		return a.recordNoAnswer(err), 0
 	}
 	if resp.StatusCode != http.StatusMisdirectedRequest {
-		r.g.ends.RecordResponse(a.in.Start(), a.conn.Opened, sent)
-		a.noteStatements(sent)
+		r.g.crashes.RecordResponse(a.instance.Start(), a.conn.Opened, sent)
+		a.recordReply(sent)
 	}
 	if a.reply.Slots > 0 {
-		a.r.g.loads.report(a.in.Start(), a.reply.Running, a.reply.Waiting, a.r.g.clock.Now())
+		a.r.g.loads.recordReport(a.instance.Start(), a.reply.Running, a.reply.Waiting, a.r.g.clock.Now())
 	}
-	if a.streams(resp) {
-		a.noteSound()
-		return a.passStream(resp)
+	if a.isStream(resp) {
+		a.recordVerified()
+		return a.forwardStream(resp)
 	}
-	return a.takeAnswer(resp)
+	return a.handleAnswer(resp)
 }
 
-// awaitFirst waits for the first byte of the answer. An instance that stays silent is left for another where the request may be
-// repeated: a plain one when its time is well over, a rank of a group only while others of the service answer or none is waited for,
-// so that nothing speaks for a stall of the whole group.
-func (a *attempt) awaitFirst(sent time.Time) error {
+// awaitFirstByte waits for the first byte of the answer. A repeatable request fails over from a
+// silent instance: a request of an idempotent route once its silence timeout expires, a stream at a
+// rank of a group only while the service answers or no other instance is silent. A stall of the
+// whole group therefore causes no failover.
+func (a *attempt) awaitFirstByte(sent time.Time) error {
 	r := a.r
-	patience := a.patience()
+	wait := a.silenceTimeout()
 	for {
-		until := r.due()
-		if patience > 0 {
-			until = earlier(until, r.g.clock.Now().Add(patience))
+		deadline := r.nextDeadline()
+		if wait > 0 {
+			deadline = earlier(deadline, r.g.clock.Now().Add(wait))
 		}
-		_ = a.conn.SetDeadline(until)
+		_ = a.conn.SetDeadline(deadline)
 		_, err := a.conn.Reader.Peek(1)
 		if err == nil {
-			return a.conn.SetDeadline(r.due())
+			return a.conn.SetDeadline(r.nextDeadline())
 		}
 		var timeout net.Error
 		now := r.g.clock.Now()
-		if !errors.As(err, &timeout) || !timeout.Timeout() || !now.Before(r.due()) || r.ctx.Err() != nil {
+		if !errors.As(err, &timeout) || !timeout.Timeout() || !now.Before(r.nextDeadline()) || r.ctx.Err() != nil {
 			return err
 		}
-		elsewhere := r.route.Kind == plan.KindIdempotent || r.g.pulse.isAnswering(r.service.Name, now) || !a.othersSilent()
-		if elsewhere && r.canFailOver() {
-			return &SilentError{For: now.Sub(sent)}
+		mayFailOver := r.route.Kind == plan.KindIdempotent || r.g.health.isAnswering(r.service.Name, now) || !a.isOtherSilent()
+		if mayFailOver && r.canFailOver() {
+			return &SilenceTimeoutError{Duration: now.Sub(sent)}
 		}
-		patience = silencePoll
+		wait = silencePollInterval
 	}
 }
 
-// othersSilent returns true when this entry waits for another instance of the service as well.
-func (a *attempt) othersSilent() bool {
+// isOtherSilent reports whether this entry also waits for another instance of the service.
+func (a *attempt) isOtherSilent() bool {
 	for _, in := range a.r.g.view.Now().Usable(a.r.service.Name) {
-		if in.Start() != a.in.Start() && a.r.g.loads.silent(in.Start(), a.r.g.clock.Now()) > 0 {
+		if in.Start() != a.instance.Start() && a.r.g.loads.silentFor(in.Start(), a.r.g.clock.Now()) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// patience is how long an instance may stay silent before another is asked, zero for as long as the request lasts.
-func (a *attempt) patience() time.Duration {
+// silenceTimeout returns how long an instance may stay silent before the request fails over. Zero
+// means no timeout.
+func (a *attempt) silenceTimeout() time.Duration {
 	r := a.r
 	if !r.route.Repeatable() || r.sends >= r.route.Attempts {
 		return 0
 	}
-	patience := max(time.Duration(patienceAims*float64(r.route.Aim)), minPatience)
+	timeout := max(time.Duration(silenceTimeoutFactor*float64(r.route.Aim)), minSilenceTimeout)
 	if r.route.Kind == plan.KindStream {
-		patience = r.streamPatience()
+		timeout = r.streamSilenceTimeout()
 	}
-	if r.g.clock.Now().Add(2 * patience).After(r.until) {
+	if r.g.clock.Now().Add(2 * timeout).After(r.deadline) {
 		return 0
 	}
-	return patience
+	return timeout
 }
 
-// streamPatience is how long an upstream may keep a stream of this route waiting before another is asked.
-func (r *request) streamPatience() time.Duration {
-	return max(time.Duration(streamPatienceAims*float64(r.route.Aim)), minPatience)
+// streamSilenceTimeout returns how long an instance may keep a stream of this route waiting before
+// the request fails over.
+func (r *request) streamSilenceTimeout() time.Duration {
+	return max(time.Duration(streamSilenceTimeoutFactor*float64(r.route.Aim)), minSilenceTimeout)
 }
 
 func earlier(a, b time.Time) time.Time {
@@ -162,71 +170,74 @@
 	return b
 }
 
-// unanswered notes why an attempt got no answer.
-func (a *attempt) unanswered(err error) verdict {
+// recordNoAnswer records why an attempt got no answer and returns its verdict.
+func (a *attempt) recordNoAnswer(err error) verdict {
 	a.r.reason = "no_answer"
-	a.cut = isCut(err)
-	a.r.g.log.Debug("no answer", "id", a.r.call.ID, "instance", a.in.ID, "reused", a.conn.Reused, "error", err)
-	return a.gone(verdictLost)
+	a.disconnected = isDisconnect(err)
+	a.r.g.log.Debug("instance did not answer", "id", a.r.call.ID, "instance", a.instance.ID, "reused", a.conn.Reused, "error", err)
+	return a.orCallerGone(verdictLost)
 }
 
-// lose notes that the attempt is lost. An answer that has begun and breaks off, as all of a group's do when it loses a rank, is a failure, but no sign
-// that the instance answers nothing.
-func (a *attempt) lose(now time.Time) {
-	if a.sound {
-		a.r.g.loads.failed(a.in.Start(), lostWeight, now)
+// recordLoss records that the attempt was lost. A verified answer that breaks off counts as a
+// failure only, not as an instance that answers nothing: all answers of a group break off when it
+// loses a rank.
+func (a *attempt) recordLoss(now time.Time) {
+	if a.verified {
+		a.r.g.loads.recordFailure(a.instance.Start(), lostWeight, now)
 		return
 	}
-	a.r.g.lose(a.in, now)
+	a.r.g.recordLoss(a.instance, now)
 }
 
-// lose notes that an instance lost a request.
-func (g *Gate) lose(in core.Instance, now time.Time) {
-	if g.loads.lost(in.Start(), now) {
+// recordLoss records that an instance lost a request.
+func (g *Gate) recordLoss(in core.Instance, now time.Time) {
+	if g.loads.recordLoss(in.Start(), now) {
 		g.log.Warn("instance loses its requests", "instance", in.ID, "born", in.StartedAt, "service", in.Service)
 	}
 }
 
-// answers notes that an instance has begun a sound answer, or ended one that it began before others were lost.
-func (g *Gate) answers(in core.Instance) {
-	if g.loads.answers(in.Start()) {
+// recordAnswer records that an instance began a verified answer, or completed one that it had begun
+// before it lost other requests.
+func (g *Gate) recordAnswer(in core.Instance) {
+	if g.loads.recordAnswer(in.Start()) {
 		g.log.Info("instance answers again", "instance", in.ID, "born", in.StartedAt, "service", in.Service)
 	}
 }
 
-func (a *attempt) gone(v verdict) verdict {
+func (a *attempt) orCallerGone(v verdict) verdict {
 	if a.r.ctx.Err() != nil {
-		return verdictGone
+		return verdictCallerGone
 	}
 	return v
 }
 
-// message is the request as the upstream gets it: line and body unchanged, with one length that we have counted ourselves.
-func (a *attempt) message() []byte {
+// encode returns the request as sent to the upstream: request line and body unchanged, with a
+// Content-Length that the entry computed itself.
+func (a *attempt) encode() []byte {
 	r := a.r
-	h := forwarded(r.in.Header)
-	r.g.dialect.Write(h, Sending{
-		Instance:  a.in.ID,
-		Left:      r.until.Sub(r.g.clock.Now()),
+	h := forwardedHeader(r.req.Header)
+	r.g.dialect.Write(h, AttemptInfo{
+		Instance:  a.instance.ID,
+		Remaining: r.deadline.Sub(r.g.clock.Now()),
 		Account:   r.account,
 		Late:      r.isLate(),
-		LastEvent: r.stream.last,
+		LastEvent: r.stream.lastEvent,
 	})
-	if len(r.body) > 0 || r.in.Method != http.MethodGet && r.in.Method != http.MethodHead {
+	if len(r.body) > 0 || r.req.Method != http.MethodGet && r.req.Method != http.MethodHead {
 		h.Set("Content-Length", strconv.Itoa(len(r.body)))
 	}
 	var b bytes.Buffer
-	b.WriteString(r.in.Method + " " + r.in.RequestURI + " HTTP/1.1\r\nHost: " + r.in.Host + "\r\n")
+	b.WriteString(r.req.Method + " " + r.req.RequestURI + " HTTP/1.1\r\nHost: " + r.req.Host + "\r\n")
 	_ = h.Write(&b)
 	b.WriteString("\r\n")
 	b.Write(r.body)
 	return b.Bytes()
 }
 
-// read returns the head of the answer that belongs to the request.
-func (a *attempt) read() (*http.Response, error) {
+// readHead reads the head of the answer that belongs to this attempt, skipping stray answers.
+func (a *attempt) readHead() (*http.Response, error) {
 	for stray := 0; ; {
-		resp, err := http.ReadResponse(a.conn.Reader, a.r.in)
+		resp, err := http.ReadResponse(a.conn.Reader, a.r.req)
 		if err != nil {
 			return nil, err
 		}
@@ -237,9 +248,9 @@
 		if a.reply.ID == a.r.call.ID || a.reply.ID == "" && !a.conn.Reused {
 			return resp, nil
 		}
-		a.r.g.log.Warn("an answer to another request", "id", a.r.call.ID, "instance", a.in.ID, "answers", a.reply.ID, "status", resp.StatusCode)
+		a.r.g.log.Warn("received an answer to another request", "id", a.r.call.ID, "instance", a.instance.ID, "answers", a.reply.ID, "status", resp.StatusCode)
 		if stray++; stray > maxStrayAnswers || resp.ContentLength < 0 && len(resp.TransferEncoding) == 0 {
-			return nil, &StrayError{ID: a.reply.ID}
+			return nil, &MismatchedAnswerError{ID: a.reply.ID}
 		}
 		if _, err := io.Copy(io.Discard, resp.Body); err != nil {
 			return nil, err
--- a/gate/call.go
+++ b/gate/call.go
@@ -2,16 +2,17 @@
 
 import "time"
 
-// Call is what a request says of itself beside its line, host and body.
+// Call holds the metadata of a request that its headers carry.
 type Call struct {
 	// ID identifies this attempt of the caller.
 	ID string
-	// Budget is how long the caller waits, zero when it didn't say.
+	// Budget is how long the caller waits for the answer, zero if unstated.
 	Budget time.Duration
 	Key    string
-	// LastEvent is the last event of the stream that the caller has, negative when it has none.
+	// LastEvent is the last stream event that the caller received, negative if none.
 	LastEvent int64
-	// Prompt and Answer are the tokens to be read and at most to be written, zero when unknown.
-	Prompt int
-	Answer int
+	// PromptTokens and MaxAnswerTokens are the tokens to read and the most to generate, zero if
+	// unknown.
+	PromptTokens    int
+	MaxAnswerTokens int
 }
--- a/gate/dialect.go
+++ b/gate/dialect.go
@@ -2,12 +2,14 @@
 
 import "net/http"
 
-// Dialect reads and writes the headers in which callers, upstreams and this system tell each other about a request.
+// Dialect translates between HTTP headers and the request metadata exchanged with callers and
+// upstreams.
 type Dialect interface {
-	// Read returns what a caller's headers say.
+	// Read parses a caller's headers.
 	Read(h http.Header) (Call, error)
-	// Write sets in h, a copy of the caller's headers, what the upstream has to be told, and removes what it must not see.
-	Write(h http.Header, s Sending)
-	// Reply returns what an upstream's answer says.
+	// Write sets the headers for the upstream in h, a copy of the caller's headers, and removes
+	// those that the upstream must not see.
+	Write(h http.Header, s AttemptInfo)
+	// Reply parses the headers of an upstream's answer.
 	Reply(status int, h http.Header) Reply
 }
--- a/gate/doc.go
+++ b/gate/doc.go
@@ -1,4 +1,6 @@
-// Package gate answers callers: it routes a request, sends it to an upstream, repeats what may be repeated, and passes the answer on.
-// It reads and writes HTTP/1.1 with the codecs of net/http over its own connections to upstreams, because the library's client
-// repeats requests by itself and fiber's and fasthttp's servers don't tell when a caller leaves.
+// Package gate serves callers: it routes each request, sends it to an upstream, retries it where
+// that is allowed, and forwards the answer.
+// It uses the HTTP/1.1 codecs of net/http over its own connections to upstreams, because
+// http.Client retries requests on its own and the servers of fiber and fasthttp don't report when a
+// caller disconnects.
 package gate
--- a/gate/ended.go
+++ b/gate/ended.go
@@ -5,12 +5,13 @@
 	"geraniumpass/view"
 )
 
-// ended returns true for an instance at whose address another one listens now, as a request has found out or the instance list tells. A row of
-// the list that was itself found wrong takes no other one out: anybody may have written it.
-func (g *Gate) ended(snap *view.Snapshot, in core.Instance) bool {
-	if g.loads.isMisplaced(in.Start()) {
+// isReplaced reports whether another instance now listens at the address of in, according to an
+// earlier answer or to the instance list. A list row whose own address proved wrong replaces no
+// other instance, since anybody may have written that row.
+func (g *Gate) isReplaced(snap *view.Snapshot, in core.Instance) bool {
+	if g.loads.isAddressReused(in.Start()) {
 		return true
 	}
 	next, ok := snap.Successor(in)
-	return ok && !g.loads.isMisplaced(next.Start())
+	return ok && !g.loads.isAddressReused(next.Start())
 }
--- a/gate/error.go
+++ b/gate/error.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// StrayError says that only answers to other requests came.
-type StrayError struct {
+// MismatchedAnswerError reports that only answers to other requests arrived.
+type MismatchedAnswerError struct {
 	ID string
 }
 
-// SilentError says that an instance was left because it did not begin to answer.
-type SilentError struct {
-	For time.Duration
+// SilenceTimeoutError reports that an instance did not begin or continue its answer in time.
+type SilenceTimeoutError struct {
+	Duration time.Duration
 }
 
-// Error names the time.
-func (e *SilentError) Error() string {
-	return "silent for " + e.For.String()
+// Error returns a message with the time waited.
+func (e *SilenceTimeoutError) Error() string {
+	return "no data from instance for " + e.Duration.String()
 }
 
-// Error names the request that the last one answered.
-func (e *StrayError) Error() string {
-	return "got the answer to request " + e.ID
+// Error returns a message with the ID of the request that the last answer belongs to.
+func (e *MismatchedAnswerError) Error() string {
+	return "received the answer to request " + e.ID
 }
 
-// LongError says that an answer is longer than what is taken in before it is passed on.
-type LongError struct {
+// AnswerTooLargeError reports that an answer exceeds the limit for buffered answers.
+type AnswerTooLargeError struct {
 	Limit int
 }
 
-// Error names the limit.
-func (e *LongError) Error() string {
-	return "an answer of more than " + strconv.Itoa(e.Limit) + " bytes"
+// Error returns a message with the limit in bytes.
+func (e *AnswerTooLargeError) Error() string {
+	return "answer exceeds " + strconv.Itoa(e.Limit) + " bytes"
 }
--- a/gate/exchange.go
+++ b/gate/exchange.go
@@ -13,48 +13,51 @@
 )
 
 const (
-	// minSendTime is the time below which another send can't bring an answer any more.
-	minSendTime = 30 * time.Millisecond
-	// connectionParts is how many entries more than are known share an instance's connections, for those that come and go.
-	connectionParts = 2
-	// fewestConnections is what an entry may open to an instance however small its part is.
-	fewestConnections = 3
-	// usualConnections bounds the connections to an instance whose service names no bound.
-	usualConnections = 64
-	// failureWeight, lostWeight and refusedWeight say how much an instance's failed answer, a lost one and a refusal speak against it.
+	// minAttemptTime is the remaining time below which another attempt can't be answered.
+	minAttemptTime = 30 * time.Millisecond
+	// extraConnectionShares is added to the number of known entries when an instance's connections
+	// are divided, as a reserve for entries that join or leave.
+	extraConnectionShares = 2
+	// minConnections is the number of connections that an entry may always open to an instance.
+	minConnections = 3
+	// defaultConnections limits the connections to an instance whose service sets no limit.
+	defaultConnections = 64
+	// failureWeight, lostWeight and refusedWeight are the weights of a failed answer, a lost
+	// request and a refusal in an instance's failure score.
 	failureWeight = 0.3
 	lostWeight    = 1.0
 	refusedWeight = 0.7
 )
 
-// verdict is what an attempt leaves to be done.
+// verdict is the result of an attempt.
 type verdict uint8
 
 const (
 	// verdictDone means that the caller has its answer.
 	verdictDone verdict = iota
-	// verdictUnsent means that no byte reached an upstream.
-	verdictUnsent
-	// verdictNotRun means that the upstream promises not to have run it.
-	verdictNotRun
-	// verdictLost means that it may have run.
+	// verdictNotSent means that no byte reached an upstream.
+	verdictNotSent
+	// verdictNotExecuted means that the upstream guarantees that it did not run the request.
+	verdictNotExecuted
+	// verdictLost means that the request may have run.
 	verdictLost
-	// verdictFailed means that a whole answer came that tells of a failure.
+	// verdictFailed means that a complete answer reported a failure.
 	verdictFailed
-	// verdictGone means that the caller left.
-	verdictGone
+	// verdictCallerGone means that the caller disconnected.
+	verdictCallerGone
 )
 
-// exchange tries upstreams until the request is answered or given up, and returns the status that the caller got.
-func (r *request) exchange() int {
+// tryUpstreams sends the request to upstreams until it is answered or given up, and returns the
+// status sent to the caller.
+func (r *request) tryUpstreams() int {
 	now := r.g.clock.Now()
-	r.g.repeats.Request(now, r.service.Name)
-	// Connections that can't be opened are no sends; their number is bounded all the same.
+	r.g.retryBudget.RecordRequest(now, r.service.Name)
+	// Failed dials don't count as sends, but their number is limited as well.
 	for tries := 0; tries <= r.route.Attempts+2; tries++ {
 		if r.ctx.Err() != nil {
-			return statusGone
+			return statusCallerGone
 		}
-		if r.due().Sub(r.g.clock.Now()) < minSendTime {
+		if r.nextDeadline().Sub(r.g.clock.Now()) < minAttemptTime {
 			break
 		}
 		if r.isCrashing() {
@@ -64,7 +67,7 @@
 		if !ok {
 			break
 		}
-		if r.sends > 0 && !r.takeRepeat() {
+		if r.sends > 0 && !r.takeRetry() {
 			r.g.loads.end(in.Start())
 			r.permit.Cancel(r.g.clock.Now())
 			r.reason = "no_repeat_left"
@@ -74,12 +77,12 @@
 		switch v {
 		case verdictDone:
 			return status
-		case verdictGone:
-			return statusGone
-		case verdictUnsent, verdictNotRun:
+		case verdictCallerGone:
+			return statusCallerGone
+		case verdictNotSent, verdictNotExecuted:
 		case verdictLost, verdictFailed:
-			r.doubt = r.doubt || v == verdictLost
-			if !r.route.Repeatable() || r.stream.unnumbered {
+			r.mayHaveRun = r.mayHaveRun || v == verdictLost
+			if !r.route.Repeatable() || r.stream.hasUnnumbered {
 				return r.giveUp()
 			}
 		}
@@ -90,25 +93,25 @@
 	return r.giveUp()
 }
 
-// giveUp ends a request whose attempts are over.
+// giveUp ends a request that gets no further attempt.
 func (r *request) giveUp() int {
 	if r.ctx.Err() != nil {
-		return statusGone
+		return statusCallerGone
 	}
-	if r.stream.begun {
-		return statusBroken
+	if r.stream.started {
+		return statusAborted
 	}
-	if r.failure != nil {
-		return r.pass(r.failure)
+	if r.failedAnswer != nil {
+		return r.sendAnswer(r.failedAnswer)
 	}
-	late := !r.g.clock.Now().Before(r.due().Add(-minSendTime))
+	late := !r.g.clock.Now().Before(r.nextDeadline().Add(-minAttemptTime))
 	switch {
-	case r.doubt && late:
+	case r.mayHaveRun && late:
 		return r.fail(http.StatusGatewayTimeout, "late")
-	case r.doubt:
+	case r.mayHaveRun:
 		return r.fail(http.StatusBadGateway, "lost")
 	}
-	room, why := r.firstRoom()
+	wait, why := r.nextAvailable()
 	switch {
 	case r.reason != "":
 	case why != "":
@@ -116,103 +119,106 @@
 	default:
 		r.reason = "no_upstream"
 	}
-	return r.refuse(r.reason, r.retryAfter(room))
+	return r.reject(r.reason, r.retryAfter(wait))
 }
 
-// failCrashing ends a request that ends the instances that run it. It has run, at other times if not now, and no time to come back is named:
-// the answer is a failure that promises nothing.
+// failCrashing rejects a request that ends the instances that run it. The request has run, if not
+// now then earlier, so the answer must not say that it was not executed, and it carries no
+// Retry-After.
 func (r *request) failCrashing() int {
-	r.g.log.Info("request that ends instances", "id", r.call.ID, "digest", r.fingerprint().String(), "account", r.account)
-	if r.stream.begun {
-		return statusBroken
+	r.g.log.Info("request not sent because instances end when they run it", "id", r.call.ID, "digest", r.fingerprint().String(), "account", r.account)
+	if r.stream.started {
+		return statusAborted
 	}
 	return r.fail(http.StatusBadGateway, "ends_instances")
 }
 
-// retryAfter is when a refused caller should return; room is how long every instance is held back.
-func (r *request) retryAfter(room time.Duration) time.Duration {
+// retryAfter returns the Retry-After of a rejected caller; wait is how long every instance stays
+// blocked.
+func (r *request) retryAfter(wait time.Duration) time.Duration {
 	now := r.g.clock.Now()
-	return retry.Backoff(retry.Refusal{
-		Aim:         r.route.Aim,
-		Left:        r.until.Sub(now),
-		Room:        room,
-		Unavailable: r.g.pulse.isUnavailable(r.service.Name, now),
-	}, r.g.draw)
+	return retry.Backoff(retry.Rejection{
+		TargetLatency: r.route.Aim,
+		Remaining:     r.deadline.Sub(now),
+		AvailableIn:   wait,
+		Unavailable:   r.g.health.isUnavailable(r.service.Name, now),
+	}, r.g.randomIntN)
 }
 
-// attempt sends the request to one instance and passes its answer on when it is one.
+// attempt sends the request to one instance and forwards its answer if it is final.
 func (r *request) attempt(in core.Instance) (verdict, int) {
 	defer r.g.loads.end(in.Start())
 	r.tried[in.Start()] = true
-	r.instance = in.ID
-	ctx, cancel := context.WithDeadline(r.ctx, r.due())
+	r.lastInstance = in.ID
+	ctx, cancel := context.WithDeadline(r.ctx, r.nextDeadline())
 	defer cancel()
-	conn, err := r.g.pool.Get(ctx, targetOf(in), r.connections())
+	conn, err := r.g.pool.Get(ctx, targetOf(in), r.maxConnections())
 	if err != nil {
 		var full *pool.FullError
 		if !errors.As(err, &full) && r.ctx.Err() == nil {
-			r.g.lose(in, r.g.clock.Now())
+			r.g.recordLoss(in, r.g.clock.Now())
 		}
-		r.g.log.Debug("no connection", "id", r.call.ID, "instance", in.ID, "error", err)
+		r.g.log.Debug("no connection to instance", "id", r.call.ID, "instance", in.ID, "error", err)
 		r.reason = "no_connection"
 		r.permit.Cancel(r.g.clock.Now())
-		return verdictUnsent, 0
+		return verdictNotSent, 0
 	}
-	if r.g.departing.Leaves(in.Start()) || r.g.rests.left(in.Start(), r.g.clock.Now()) > 0 {
-		// It has said so while the connection was opened.
+	if r.g.leavingInstances.IsLeaving(in.Start()) || r.g.cooldowns.remaining(in.Start(), r.g.clock.Now()) > 0 {
+		// The instance announced that it leaves or requested a cooldown during the dial.
 		conn.Discard()
 		r.permit.Cancel(r.g.clock.Now())
-		return verdictUnsent, 0
+		return verdictNotSent, 0
 	}
-	check.Hold(check.AtMostOnce, r.sends == 0 || r.route.Repeatable() || !r.doubt, "%s goes out again", r.call.ID)
+	check.Hold(check.AtMostOnce, r.sends == 0 || r.route.Repeatable() || !r.mayHaveRun, "request %s sent again although it may have run", r.call.ID)
 	a := &attempt{
-		r:    r,
-		in:   in,
-		conn: conn,
+		r:        r,
+		instance: in,
+		conn:     conn,
 	}
 	v, status := a.run()
-	if v == verdictLost && a.cut {
-		r.recordCut(in)
+	if v == verdictLost && a.disconnected {
+		r.recordDisconnect(in)
 	}
 	now := r.g.clock.Now()
 	switch v {
 	case verdictDone:
-		r.judge(in, status, now)
+		r.recordAnswer(in, status, now)
 		if status >= 200 && status < 300 {
-			r.g.ends.RecordCompletion(r.fingerprint())
+			r.g.crashes.RecordCompletion(r.fingerprint())
 		}
 	case verdictLost:
-		if !r.stalled(now) {
-			a.lose(now)
-			r.g.pulse.refused(r.service.Name)
+		if !r.isServiceStalled(now) {
+			a.recordLoss(now)
+			r.g.health.recordRefusal(r.service.Name)
 		}
-	case verdictNotRun:
-		if a.reply.Rest == 0 {
-			// The rest speaks for itself: after it the instance has its part again.
-			r.g.loads.failed(in.Start(), refusedWeight, now)
+	case verdictNotExecuted:
+		if a.reply.Cooldown == 0 {
+			// A cooldown needs no failure weight: once it is over, the instance gets its full share
+			// again.
+			r.g.loads.recordFailure(in.Start(), refusedWeight, now)
 		}
-		r.g.pulse.refused(r.service.Name)
+		r.g.health.recordRefusal(r.service.Name)
 	case verdictFailed:
-		r.g.loads.failed(in.Start(), failureWeight, now)
-	case verdictUnsent:
+		r.g.loads.recordFailure(in.Start(), failureWeight, now)
+	case verdictNotSent:
 		r.permit.Cancel(now)
-	case verdictGone:
+	case verdictCallerGone:
 	}
 	return v, status
 }
 
-// judge notes what an answer that the caller has got says of its instance. A failure that is passed on, as the request may not be repeated, is
-// one all the same.
-func (r *request) judge(in core.Instance, status int, now time.Time) {
+// recordAnswer records the answer forwarded to the caller in the instance's failure score. A
+// failure that is forwarded because the request must not be retried counts as well.
+func (r *request) recordAnswer(in core.Instance, status int, now time.Time) {
 	if status >= http.StatusInternalServerError {
-		r.g.loads.failed(in.Start(), failureWeight, now)
+		r.g.loads.recordFailure(in.Start(), failureWeight, now)
 		return
 	}
-	r.g.loads.worked(in.Start(), now)
-	r.g.answers(in)
+	r.g.loads.recordSuccess(in.Start(), now)
+	r.g.recordAnswer(in)
 }
 
-// targetOf returns where connections to the present start of an instance go.
+// targetOf returns the connection target of an instance's current incarnation.
 func targetOf(in core.Instance) pool.Target {
 	return pool.Target{
 		Address: in.Address,
@@ -220,10 +226,10 @@
 	}
 }
 
-// connections is this entry's part of what an instance accepts from all callers.
-func (r *request) connections() int {
+// maxConnections returns this entry's share of the connections that an instance accepts.
+func (r *request) maxConnections() int {
 	if r.service.MaxConnections <= 0 {
-		return usualConnections
+		return defaultConnections
 	}
-	return max(fewestConnections, r.service.MaxConnections/(entries(r.snap)+connectionParts))
+	return max(minConnections, r.service.MaxConnections/(entryCount(r.snap)+extraConnectionShares))
 }
--- a/gate/failing_test.go
+++ b/gate/failing_test.go
@@ -9,16 +9,18 @@
 	"geraniumpass/route"
 )
 
-// TestFailingInstanceIsLeftAlone guards against a crowd that spills over to an instance that has lost every request it was given: the weight
-// of two losses is forgotten in a moment, and a full neighbour looks worse than that.
-func TestFailingInstanceIsLeftAlone(t *testing.T) {
+// TestFailingInstanceGetsNoRequests guards against load that spills over to an instance that lost
+// every request: its failure score decays within seconds, after which a fully loaded neighbour
+// looks worse.
+func TestFailingInstanceGetsNoRequests(t *testing.T) {
 	const (
 		together = 12
 		slots    = 4
 	)
 	tests := []struct {
 		name string
-		// answered is how many answers the instance began before it lost its requests, again how many after them.
+		// answered is the number of answers begun before the losses, again the number begun after
+		// them.
 		answered int
 		lost     int
 		again    int
@@ -37,30 +39,30 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			l := newLoads()
-			failing, sound := core.Start{ID: "i-0"}, core.Start{ID: "i-1"}
+			l := newLoadTracker()
+			failing, healthy := core.Start{ID: "i-0"}, core.Start{ID: "i-1"}
 			now := time.Unix(1_000, 0)
 			for range tt.answered {
-				l.answers(failing)
+				l.recordAnswer(failing)
 			}
 			for range tt.lost {
-				l.lost(failing, now)
+				l.recordLoss(failing, now)
 			}
 			for range tt.again {
-				l.answers(failing)
+				l.recordAnswer(failing)
 			}
 			now = now.Add(tt.since)
-			starts := []core.Start{failing, sound}
+			starts := []core.Start{failing, healthy}
 			random := rand.New(rand.NewPCG(1, 2))
 			got := 0
 			for range together {
 				var seen []route.InstanceView
-				for _, b := range l.beliefs(starts, now) {
+				for _, e := range l.estimates(starts, now) {
 					seen = append(seen, route.InstanceView{
-						Load:       b.load,
+						Load:       e.load,
 						Slots:      slots,
-						Penalty:    b.failures * failurePenalty,
-						LastResort: b.isBarred(),
+						Penalty:    e.failures * failurePenalty,
+						LastResort: e.isBarred(),
 					})
 				}
 				i := route.LeastLoaded(seen, "", random)
@@ -76,46 +78,48 @@
 	}
 }
 
-// TestOnlyFailingInstanceIsUsed guards against a service that refuses everything because each of its instances has lost two requests.
-func TestOnlyFailingInstanceIsUsed(t *testing.T) {
-	l := newLoads()
+// TestFailingInstancesAreLastResort guards against a service that rejects everything because each
+// of its instances has lost two requests.
+func TestFailingInstancesAreLastResort(t *testing.T) {
+	l := newLoadTracker()
 	starts := []core.Start{{ID: "i-0"}, {ID: "i-1"}}
 	now := time.Unix(1_000, 0)
 	for range 4 {
-		l.lost(starts[0], now)
-		l.lost(starts[1], now)
+		l.recordLoss(starts[0], now)
+		l.recordLoss(starts[1], now)
 	}
 	var seen []route.InstanceView
-	for _, b := range l.beliefs(starts, now) {
+	for _, b := range l.estimates(starts, now) {
 		seen = append(seen, route.InstanceView{
 			Slots:      4,
 			LastResort: b.isBarred(),
 		})
 	}
 	if i := route.LeastLoaded(seen, "", rand.New(rand.NewPCG(1, 2))); i < 0 {
-		t.Error("no instance is left")
+		t.Error("no instance was picked")
 	}
 }
 
-// TestFailingInstanceIsToldOnce guards against a log line for each request that a failing instance loses.
-func TestFailingInstanceIsToldOnce(t *testing.T) {
-	l := newLoads()
+// TestFailingInstanceIsLoggedOnce guards against a log line for each request that a failing
+// instance loses.
+func TestFailingInstanceIsLoggedOnce(t *testing.T) {
+	l := newLoadTracker()
 	start := core.Start{ID: "i-0"}
 	now := time.Unix(1_000, 0)
-	told, over := 0, 0
+	failing, recovered := 0, 0
 	for range 2 {
 		for range 5 {
-			if l.lost(start, now) {
-				told++
+			if l.recordLoss(start, now) {
+				failing++
 			}
 		}
 		for range 3 {
-			if l.answers(start) {
-				over++
+			if l.recordAnswer(start) {
+				recovered++
 			}
 		}
 	}
-	if told != 2 || over != 2 {
-		t.Errorf("told %d times that it fails and %d times that it answers again, want twice each", told, over)
+	if failing != 2 || recovered != 2 {
+		t.Errorf("reported failing %d times and recovered %d times, want twice each", failing, recovered)
 	}
 }
--- a/gate/held.go
+++ b/gate/held.go
@@ -8,42 +8,43 @@
 	"geraniumpass/view"
 )
 
-// Reasons of refusals for want of an instance that may be sent to.
+// Reasons for rejecting a request because all instances are blocked.
 const (
-	reasonLimited = "limited"
-	reasonResting = "resting"
+	reasonLimited  = "limited"
+	reasonCooldown = "resting"
 )
 
-// isHeldBack returns true for an instance that must get no request from this entry now, not even when it is the only one: it leaves, rests, or
-// has no room within its limit.
-func (g *Gate) isHeldBack(start core.Start, fleet quota.Fleet, now time.Time) bool {
-	return g.departing.Leaves(start) || g.rests.left(start, now) > 0 || g.quotas.Wait(start, fleet) > 0
+// isBlocked reports whether an instance must get no request from this entry now, even if it is the
+// only one, because it is leaving, in a cooldown, or at its limit.
+func (g *Gate) isBlocked(start core.Start, fleet quota.Fleet, now time.Time) bool {
+	return g.leavingInstances.IsLeaving(start) || g.cooldowns.remaining(start, now) > 0 || g.quotas.Wait(start, fleet) > 0
 }
 
-// roomAt returns how long it takes until a caller may find room at an instance that is held back, and why it is; zero for one that is not.
-func (g *Gate) roomAt(start core.Start, fleet quota.Fleet, now time.Time) (time.Duration, string) {
-	rest, limit := g.rests.left(start, now), g.quotas.RetryAfter(start, fleet)
-	if rest > limit {
-		return rest, reasonResting
+// availableIn returns how long an instance stays blocked by a cooldown or its limit, and which of
+// the two it is. It returns zero for an instance that is not blocked.
+func (g *Gate) availableIn(start core.Start, fleet quota.Fleet, now time.Time) (time.Duration, string) {
+	cooldownLeft, limit := g.cooldowns.remaining(start, now), g.quotas.RetryAfter(start, fleet)
+	if cooldownLeft > limit {
+		return cooldownLeft, reasonCooldown
 	}
 	return limit, reasonLimited
 }
 
-// firstRoom returns how long it takes until there is room at the first instance of the service, and why there is none now; zero when one of
-// them is not held back.
-func (r *request) firstRoom() (first time.Duration, reason string) {
+// nextAvailable returns how long it takes until the first instance of the service is available, and
+// why none is now. It returns zero if one is available now.
+func (r *request) nextAvailable() (first time.Duration, reason string) {
 	snap, now := r.g.view.Now(), r.g.clock.Now()
 	fleet := fleetOf(snap)
 	for _, in := range snap.Usable(r.service.Name) {
-		if r.g.departing.Leaves(in.Start()) {
+		if r.g.leavingInstances.IsLeaving(in.Start()) {
 			continue
 		}
-		room, why := r.g.roomAt(in.Start(), fleet, now)
-		if room == 0 {
+		wait, why := r.g.availableIn(in.Start(), fleet, now)
+		if wait == 0 {
 			return 0, ""
 		}
-		if first == 0 || room < first {
-			first, reason = room, why
+		if first == 0 || wait < first {
+			first, reason = wait, why
 		}
 	}
 	return first, reason
--- a/gate/lateness.go
+++ b/gate/lateness.go
@@ -7,28 +7,30 @@
 	"geraniumpass/plan"
 )
 
-// budgetMemory is how long the longest time that callers of a route have brought is remembered.
-const budgetMemory = 30 * time.Second
-
-// budgets learns how much time callers of a route bring when they ask for the first time: the most that any has brought lately. One that brings
-// less has spent the difference before, since callers that come back keep their deadline.
-type budgets struct {
-	mu sync.Mutex
-	by map[string]*longest
+// budgetRetention is how long the largest budget seen on a route is kept.
+const budgetRetention = 30 * time.Second
+
+// callerBudgets tracks the largest time budget seen recently on each route, which is taken as the
+// budget of a first try. A caller with a smaller budget has spent the difference on earlier tries,
+// because callers keep their deadline when they retry.
+type callerBudgets struct {
+	mu      sync.Mutex
+	byRoute map[string]*maxBudget
 }
 
-type longest struct {
+type maxBudget struct {
 	budget time.Duration
 	at     time.Time
 }
 
-func newBudgets() *budgets {
-	return &budgets{by: make(map[string]*longest)}
+func newCallerBudgets() *callerBudgets {
+	return &callerBudgets{byRoute: make(map[string]*maxBudget)}
 }
 
-// spent returns how much of its time a caller with a budget has spent before it asked here, zero where it names none. No caller makes others late
-// by bringing more than its route allows.
-func (b *budgets) spent(route *plan.Route, budget time.Duration, now time.Time) time.Duration {
+// spent returns how much of its time a caller with the given budget has already used, zero if it
+// states no budget. Budgets are capped at the route's timeout, so that a caller with a larger one
+// doesn't make others look late.
+func (b *callerBudgets) spent(route *plan.Route, budget time.Duration, now time.Time) time.Duration {
 	if budget <= 0 {
 		return 0
 	}
@@ -37,18 +39,19 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	l := b.by[route.Name]
-	if l == nil {
-		l = &longest{}
-		b.by[route.Name] = l
+	longest := b.byRoute[route.Name]
+	if longest == nil {
+		longest = &maxBudget{}
+		b.byRoute[route.Name] = longest
 	}
-	if budget >= l.budget || now.Sub(l.at) > budgetMemory {
-		l.budget, l.at = budget, now
+	if budget >= longest.budget || now.Sub(longest.at) > budgetRetention {
+		longest.budget, longest.at = budget, now
 	}
-	return l.budget - budget
+	return longest.budget - budget
 }
 
-// isLate returns true for a request whose answer can't begin within its aim any more: its caller has been refused or cut off before.
+// isLate reports whether the answer can't begin within the target latency any more, because the
+// caller was rejected or cut off before.
 func (r *request) isLate() bool {
-	return r.stream.last >= 0 || r.route.Aim > 0 && r.spent+r.g.since(r.came) > r.route.Aim
+	return r.stream.lastEvent >= 0 || r.route.Aim > 0 && r.spentBefore+r.g.elapsed(r.receivedAt) > r.route.Aim
 }
--- a/gate/lateness_test.go
+++ b/gate/lateness_test.go
@@ -9,12 +9,13 @@
 	"geraniumpass/plan"
 )
 
-// TestWhoIsLateAlready tells callers that come back from those that ask for the first time by the time that they bring.
-func TestWhoIsLateAlready(t *testing.T) {
+// TestIsLate guards against taking first tries for retries and vice versa, which are told apart by
+// the time budget of the caller.
+func TestIsLate(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Unix(1_000, 0))
 	g := &Gate{
 		clock:   clock,
-		budgets: newBudgets(),
+		budgets: newCallerBudgets(),
 	}
 	aim := 400 * time.Millisecond
 	route := &plan.Route{Name: "flow", Aim: aim, Timeout: 8 * time.Second}
@@ -35,17 +36,17 @@
 		{"one that was refused long ago", 0, 5400 * time.Millisecond, -1, 0, true},
 		{"one whose stream was cut", 0, 8 * time.Second, 4, 0, true},
 		{"one that waited here", 0, 8 * time.Second, -1, aim + time.Millisecond, true},
-		{"after callers have come to bring less", 2 * budgetMemory, 5 * time.Second, -1, 0, false},
+		{"after callers have come to bring less", 2 * budgetRetention, 5 * time.Second, -1, 0, false},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			clock.Advance(tt.after)
 			r := &request{
-				g:      g,
-				route:  route,
-				came:   clock.Now().Add(-tt.waited),
-				spent:  g.budgets.spent(route, tt.budget, clock.Now()),
-				stream: delivered{last: tt.last},
+				g:           g,
+				route:       route,
+				receivedAt:  clock.Now().Add(-tt.waited),
+				spentBefore: g.budgets.spent(route, tt.budget, clock.Now()),
+				stream:      streamProgress{lastEvent: tt.last},
 			}
 			if got := r.isLate(); got != tt.want {
 				t.Errorf("late: %v, want %v", got, tt.want)
--- a/gate/loads.go
+++ b/gate/loads.go
@@ -10,260 +10,272 @@
 )
 
 const (
-	// loadMemory is how long a load that came back with an answer is believed: about as long as a stream runs.
-	loadMemory = time.Second
-	// failureHalfLife is the time in which a failure seen at an instance is half forgotten.
+	// loadHalfLife is the half-life of the weight of a reported load, about the duration of a
+	// stream.
+	loadHalfLife = time.Second
+	// failureHalfLife is the half-life of an instance's failure score.
 	failureHalfLife = 3 * time.Second
-	// failurePenalty is what one failure weighs, as a share of an instance's slots.
+	// failurePenalty is the load penalty per failure, as a fraction of the instance's slots.
 	failurePenalty = 0.5
-	// silentAfter is how long an instance may stay silent, while others of its service answer, before it gets no more requests.
-	silentAfter = 700 * time.Millisecond
-	// barAfter is the weight of failures, about three at once, from which an instance is taken only when there is no other.
-	barAfter = 2.5
-	// failingAfter is how many requests in a row an instance has to lose, without beginning one answer, to count as failing.
-	failingAfter = 2
-	// proveAfter is how long a failing instance is left alone before a single request finds out whether it answers again.
-	proveAfter = 3 * time.Second
+	// maxSilence is how long an instance may stay silent while others of its service answer before
+	// it is barred.
+	maxSilence = 700 * time.Millisecond
+	// barThreshold is the failure score, about three concurrent failures, above which an instance
+	// is barred, that is, picked only if there is no other.
+	barThreshold = 2.5
+	// failingThreshold is the number of consecutive lost requests, with no answer begun, that makes
+	// an instance count as failing.
+	failingThreshold = 2
+	// failingCooldown is how long a failing instance is barred before a single request tests it.
+	failingCooldown = 3 * time.Second
 )
 
-// loads is what this entry has seen of each start of an instance: what was seen of an earlier one says nothing of the present.
-type loads struct {
-	mu sync.Mutex
-	by map[core.Start]*load
+// loadTracker holds what this entry has observed of each incarnation of an instance. Observations
+// of an earlier incarnation don't apply to a later one.
+type loadTracker struct {
+	mu      sync.Mutex
+	byStart map[core.Start]*instanceLoad
 }
 
-type load struct {
+type instanceLoad struct {
 	own int
-	// reported is the load told by an instance at a moment, own requests included.
+	// reported is the last load stated by the instance, including ownAtReport requests of this
+	// entry.
 	reported    float64
-	ownReported int
-	at          time.Time
-	// failures decays with failureHalfLife since failedAt.
+	ownAtReport int
+	reportedAt  time.Time
+	// failures is the failure score at failedAt. It decays with failureHalfLife.
 	failures float64
 	failedAt time.Time
-	// lost is how many requests the instance has lost since it last began an answer, lostAt when it lost the last one.
-	lost   int
-	lostAt time.Time
-	// misplaced is true once another instance has answered at its address.
-	misplaced bool
-	// invalid is the last statement of the instance that could not be understood, empty for none.
-	invalid string
-	// waiting is when each request was sent that the instance has not begun to answer, the oldest first.
+	// consecutiveLosses counts the requests lost since the instance last began an answer.
+	consecutiveLosses int
+	lastLossAt        time.Time
+	// addressReused is set once another instance has answered at this address.
+	addressReused bool
+	// lastInvalid is the last invalid statement of the instance, empty if none.
+	lastInvalid string
+	// waiting holds the send times of requests without a first byte, oldest first.
 	waiting []time.Time
 }
 
-func newLoads() *loads {
-	return &loads{by: make(map[core.Start]*load)}
+func newLoadTracker() *loadTracker {
+	return &loadTracker{byStart: make(map[core.Start]*instanceLoad)}
 }
 
-func (l *loads) get(start core.Start) *load {
-	ld := l.by[start]
+func (t *loadTracker) get(start core.Start) *instanceLoad {
+	ld := t.byStart[start]
 	if ld == nil {
-		ld = &load{}
-		l.by[start] = ld
+		ld = &instanceLoad{}
+		t.byStart[start] = ld
 	}
 	return ld
 }
 
-// begin counts a request sent to an instance and end its end.
-func (l *loads) begin(start core.Start) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.get(start).own++
+// begin increments the number of this entry's in-flight requests; end decrements it.
+func (t *loadTracker) begin(start core.Start) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.get(start).own++
 }
 
-func (l *loads) end(start core.Start) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.get(start).own--
+func (t *loadTracker) end(start core.Start) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.get(start).own--
 }
 
-// waits notes that a request was sent at a time and waits for its answer, waited that it does no more.
-func (l *loads) waits(start core.Start, sent time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ld := l.get(start)
+// addWaiting records the send time of a request that waits for its first byte; removeWaiting
+// removes it.
+func (t *loadTracker) addWaiting(start core.Start, sent time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ld := t.get(start)
 	ld.waiting = append(ld.waiting, sent)
 }
 
-func (l *loads) waited(start core.Start, sent time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ld := l.get(start)
+func (t *loadTracker) removeWaiting(start core.Start, sent time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ld := t.get(start)
 	if i := slices.Index(ld.waiting, sent); i >= 0 {
 		ld.waiting = slices.Delete(ld.waiting, i, i+1)
 	}
 }
 
-// silent returns how long the oldest request waits that an instance has not begun to answer.
-func (l *loads) silent(start core.Start, now time.Time) time.Duration {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ld, ok := l.by[start]
+// silentFor returns how long the oldest request without a first byte has been waiting.
+func (t *loadTracker) silentFor(start core.Start, now time.Time) time.Duration {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ld, ok := t.byStart[start]
 	if !ok || len(ld.waiting) == 0 {
 		return 0
 	}
 	return now.Sub(ld.waiting[0])
 }
 
-// report takes the load that an instance told.
-func (l *loads) report(start core.Start, running, waiting int, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ld := l.get(start)
+// recordReport records the load that an instance reported.
+func (t *loadTracker) recordReport(start core.Start, running, waiting int, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ld := t.get(start)
 	ld.reported = float64(running + waiting)
-	ld.ownReported = ld.own
-	ld.at = now
+	ld.ownAtReport = ld.own
+	ld.reportedAt = now
 }
 
-// failed notes a failure of an instance, weighed by how sure it is that the instance and not the request is the cause.
-func (l *loads) failed(start core.Start, weight float64, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ld := l.get(start)
-	ld.failures = ld.decayed(now) + weight
+// recordFailure adds weight to the failure score of an instance. The weight reflects how likely it
+// is that the instance and not the request is the cause.
+func (t *loadTracker) recordFailure(start core.Start, weight float64, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ld := t.get(start)
+	ld.failures = ld.decayedFailures(now) + weight
 	ld.failedAt = now
 }
 
-// lost notes that an instance took a request, or the connection for one, and gave no answer; it returns true when the instance counts as failing
-// from now on.
-func (l *loads) lost(start core.Start, now time.Time) bool {
-	l.failed(start, lostWeight, now)
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ld := l.get(start)
-	ld.lost++
-	ld.lostAt = now
-	return ld.lost == failingAfter
+// recordLoss records that an instance accepted a request, or was dialed for one, and gave no
+// answer. It reports whether the instance just became failing.
+func (t *loadTracker) recordLoss(start core.Start, now time.Time) bool {
+	t.recordFailure(start, lostWeight, now)
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ld := t.get(start)
+	ld.consecutiveLosses++
+	ld.lastLossAt = now
+	return ld.consecutiveLosses == failingThreshold
 }
 
-// answers notes that an instance has begun a sound answer; it returns true when the instance counted as failing.
-func (l *loads) answers(start core.Start) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ld := l.get(start)
-	wasFailing := ld.lost >= failingAfter
-	ld.lost = 0
+// recordAnswer records that an instance began a verified answer. It reports whether the instance
+// counted as failing before.
+func (t *loadTracker) recordAnswer(start core.Start) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ld := t.get(start)
+	wasFailing := ld.consecutiveLosses >= failingThreshold
+	ld.consecutiveLosses = 0
 	return wasFailing
 }
 
-// worked notes a whole answer of an instance.
-func (l *loads) worked(start core.Start, now time.Time) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ld := l.get(start)
+// recordSuccess halves the failure score of an instance that gave a complete answer.
+func (t *loadTracker) recordSuccess(start core.Start, now time.Time) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ld := t.get(start)
 	if ld.failures > 0 {
-		ld.failures = ld.decayed(now) / 2
+		ld.failures = ld.decayedFailures(now) / 2
 		ld.failedAt = now
 	}
 }
 
-// belief is what an entry believes of an instance: its load, the weight of the failures seen there, and whether it fails whatever it is given.
-type belief struct {
+// estimate is an entry's view of an instance: its load, its failure score, and whether it is
+// failing.
+type estimate struct {
 	load     float64
 	failures float64
 	failing  bool
 }
 
-// isBarred returns true when an instance is taken only while there is no other.
-func (b belief) isBarred() bool {
-	return b.failures > barAfter || b.failing
+// isBarred reports whether the instance is picked only if there is no other.
+func (e estimate) isBarred() bool {
+	return e.failures > barThreshold || e.failing
 }
 
-// beliefs returns what is believed of each of the instances. The load that others put on one is taken from its last word as far as that is
-// believed, and from the mean over all of them for the rest: an instance that has not been heard of for a while, as one whose queue is long,
-// is no emptier than the others.
-func (l *loads) beliefs(starts []core.Start, now time.Time) []belief {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	trusted, weight := 0.0, 0.0
+// estimates returns the estimate of each instance. The load from other entries is interpolated
+// between the instance's last report and the mean over all instances, by the age of the report. An
+// instance without a recent report, for example one with a long queue, is thus not taken for less
+// loaded than the others.
+func (t *loadTracker) estimates(starts []core.Start, now time.Time) []estimate {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	weighted, weight := 0.0, 0.0
 	for _, start := range starts {
-		if ld, ok := l.by[start]; ok {
-			trusted += ld.trust(now) * ld.others()
-			weight += ld.trust(now)
+		if ld, ok := t.byStart[start]; ok {
+			weighted += ld.reportWeight(now) * ld.othersLoad()
+			weight += ld.reportWeight(now)
 		}
 	}
 	mean := 0.0
 	if weight > 0 {
-		mean = trusted / weight
+		mean = weighted / weight
 	}
-	out := make([]belief, len(starts))
+	out := make([]estimate, len(starts))
 	for i, start := range starts {
-		ld, ok := l.by[start]
+		ld, ok := t.byStart[start]
 		if !ok {
 			out[i].load = mean
 			continue
 		}
-		trust := ld.trust(now)
-		out[i] = belief{
-			load:     float64(ld.own) + trust*ld.others() + (1-trust)*mean,
-			failures: ld.decayed(now),
+		w := ld.reportWeight(now)
+		out[i] = estimate{
+			load:     float64(ld.own) + w*ld.othersLoad() + (1-w)*mean,
+			failures: ld.decayedFailures(now),
 			failing:  ld.isFailing(now),
 		}
 	}
 	return out
 }
 
-// isBarred returns true when an instance is taken only while there is no other.
-func (l *loads) isBarred(start core.Start, now time.Time) bool {
-	return l.beliefs([]core.Start{start}, now)[0].isBarred()
+// isBarred reports whether an instance is picked only if there is no other.
+func (t *loadTracker) isBarred(start core.Start, now time.Time) bool {
+	return t.estimates([]core.Start{start}, now)[0].isBarred()
 }
 
-// trust is how far the last word of an instance on its load is believed.
-func (ld *load) trust(now time.Time) float64 {
-	if ld.at.IsZero() {
+// reportWeight returns the weight of the last reported load, from 0 (none) to 1 (just reported).
+func (ld *instanceLoad) reportWeight(now time.Time) float64 {
+	if ld.reportedAt.IsZero() {
 		return 0
 	}
-	return math.Exp2(-now.Sub(ld.at).Seconds() / loadMemory.Seconds())
+	return math.Exp2(-now.Sub(ld.reportedAt).Seconds() / loadHalfLife.Seconds())
 }
 
-// others is the load that other entries had put on an instance by its last word.
-func (ld *load) others() float64 {
-	return max(0, ld.reported-float64(ld.ownReported))
+// othersLoad returns the load from other entries as of the last report.
+func (ld *instanceLoad) othersLoad() float64 {
+	return max(0, ld.reported-float64(ld.ownAtReport))
 }
 
-// isFailing returns true for an instance that should get no request: it has lost all of its last ones, and either the last loss was a moment ago
-// or a request is already finding out. The weight of failures doesn't tell two lost of two from two lost of a hundred.
-func (ld *load) isFailing(now time.Time) bool {
-	return ld.lost >= failingAfter && (now.Sub(ld.lostAt) < proveAfter || ld.own > 0)
+// isFailing reports whether an instance should get no request: it lost all of its recent ones, and
+// either the last loss is within failingCooldown or a test request is in flight. The failure score
+// can't tell two losses of two requests from two of a hundred.
+func (ld *instanceLoad) isFailing(now time.Time) bool {
+	return ld.consecutiveLosses >= failingThreshold && (now.Sub(ld.lastLossAt) < failingCooldown || ld.own > 0)
 }
 
-func (ld *load) decayed(now time.Time) float64 {
+func (ld *instanceLoad) decayedFailures(now time.Time) float64 {
 	return ld.failures * math.Exp2(-now.Sub(ld.failedAt).Seconds()/failureHalfLife.Seconds())
 }
 
-// isNewInvalid notes a statement that could not be understood and returns true unless it was the last one too.
-func (l *loads) isNewInvalid(start core.Start, err error) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ld := l.get(start)
-	isNew := ld.invalid != err.Error()
-	ld.invalid = err.Error()
+// recordInvalid records an invalid statement and reports whether it differs from the last one.
+func (t *loadTracker) recordInvalid(start core.Start, err error) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ld := t.get(start)
+	isNew := ld.lastInvalid != err.Error()
+	ld.lastInvalid = err.Error()
 	return isNew
 }
 
-// misplaced notes that another instance answers at the address of this one.
-func (l *loads) misplaced(start core.Start) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	l.get(start).misplaced = true
+// markAddressReused records that another instance answers at this instance's address.
+func (t *loadTracker) markAddressReused(start core.Start) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.get(start).addressReused = true
 }
 
-// isMisplaced returns whether another instance has answered at its address.
-func (l *loads) isMisplaced(start core.Start) bool {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	ld, ok := l.by[start]
-	return ok && ld.misplaced
+// isAddressReused reports whether another instance has answered at this instance's address.
+func (t *loadTracker) isAddressReused(start core.Start) bool {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	ld, ok := t.byStart[start]
+	return ok && ld.addressReused
 }
 
-// forget drops what is known of instances that keep returns false for.
-func (l *loads) forget(keep func(start core.Start) bool) {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for start, ld := range l.by {
+// evict drops idle incarnations for which keep returns false.
+func (t *loadTracker) evict(keep func(start core.Start) bool) {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	for start, ld := range t.byStart {
 		if ld.own == 0 && !keep(start) {
-			delete(l.by, start)
+			delete(t.byStart, start)
 		}
 	}
 }
--- a/gate/move.go
+++ b/gate/move.go
@@ -2,42 +2,45 @@
 
 import "time"
 
-// canFailOver returns true when a request that its upstream keeps waiting may go on at another one, which is paid for then, and has the time to
-// begin there. An upstream is left only if so: it may still answer, and nobody else would.
+// canFailOver reports whether a request may move from a silent instance to another one and has
+// enough time left to begin there. If so, it reserves a retry. The request stays otherwise, because
+// the silent instance may still answer and no other would.
 func (r *request) canFailOver() bool {
-	if !r.route.Repeatable() || r.stream.unnumbered || r.sends >= r.route.Attempts || r.due().Sub(r.g.clock.Now()) < r.route.Aim || !r.hasAlternative() {
+	if !r.route.Repeatable() || r.stream.hasUnnumbered || r.sends >= r.route.Attempts || r.nextDeadline().Sub(r.g.clock.Now()) < r.route.Aim || !r.hasAlternative() {
 		return false
 	}
-	r.paid = r.paid || r.repeat()
-	return r.paid
+	r.retryReserved = r.retryReserved || r.spendRetry()
+	return r.retryReserved
 }
 
-// hasAlternative returns true when there is an instance that the request was not sent to, that has not ended, that is not barred for its
-// failures and that is not held back: a silent instance may still answer, one that fails would not.
+// hasAlternative reports whether there is an untried instance that is neither replaced, barred nor
+// blocked. A barred instance is no alternative: a silent instance may still answer, a failing one
+// would not.
 func (r *request) hasAlternative() bool {
 	snap := r.g.view.Now()
 	now := r.g.clock.Now()
 	fleet := fleetOf(snap)
 	for _, in := range snap.Usable(r.service.Name) {
-		if !r.tried[in.Start()] && !r.g.ended(snap, in) && !r.g.loads.isBarred(in.Start(), now) && !r.g.isHeldBack(in.Start(), fleet, now) {
+		if !r.tried[in.Start()] && !r.g.isReplaced(snap, in) && !r.g.loads.isBarred(in.Start(), now) && !r.g.isBlocked(in.Start(), fleet, now) {
 			return true
 		}
 	}
 	return false
 }
 
-// takeRepeat takes one repeat of the allowance, unless it was taken before the last upstream was left.
-func (r *request) takeRepeat() bool {
-	paid := r.paid || r.repeat()
-	r.paid = false
-	return paid
+// takeRetry spends one retry of the budget, unless canFailOver has reserved it already.
+func (r *request) takeRetry() bool {
+	ok := r.retryReserved || r.spendRetry()
+	r.retryReserved = false
+	return ok
 }
 
-func (r *request) repeat() bool {
-	return r.g.repeats.Repeat(r.g.clock.Now(), r.service.Name, entries(r.snap))
+func (r *request) spendRetry() bool {
+	return r.g.retryBudget.TryRetry(r.g.clock.Now(), r.service.Name, entryCount(r.snap))
 }
 
-// stalled returns true when the time for a first event is over while nothing of the service answers: that speaks against no instance.
-func (r *request) stalled(now time.Time) bool {
-	return !r.firstEventDue.IsZero() && !r.stream.begun && !now.Before(r.firstEventDue) && !r.g.pulse.isAnswering(r.service.Name, now)
+// isServiceStalled reports whether the first event is overdue while the whole service is silent.
+// The loss then is not counted against the instance.
+func (r *request) isServiceStalled(now time.Time) bool {
+	return !r.firstEventDeadline.IsZero() && !r.stream.started && !now.Before(r.firstEventDeadline) && !r.g.health.isAnswering(r.service.Name, now)
 }
--- a/gate/near.go
+++ b/gate/near.go
@@ -8,35 +8,36 @@
 	"geraniumpass/view"
 )
 
-// nearMost is how many instances of a service an entry prefers. Each is then sent enough for connections
-// to be used again before they time out, and some entries prefer each, so that its load stays even.
-const nearMost = 8
+// maxPreferred is the number of instances of a service that an entry prefers. It is small enough
+// that connections are reused before they time out, and large enough that several entries prefer
+// each instance, which keeps the load even.
+const maxPreferred = 8
 
-// neighbors remembers by service which instances an entry prefers under the newest snapshot.
-type neighbors struct {
-	mu   sync.Mutex
-	rev  int64
-	by   map[string]map[string]bool
-	name string
+// preferredCache caches the preferred instances of each service for the newest snapshot.
+type preferredCache struct {
+	mu        sync.Mutex
+	rev       int64
+	byService map[string]map[string]bool
+	entryName string
 }
 
-// near returns the preferred instances of a service.
-func (g *Gate) near(snap *view.Snapshot, service string) map[string]bool {
-	n := &g.neighbors
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.by == nil || n.rev != snap.Rev {
-		n.by = make(map[string]map[string]bool)
-		n.rev = snap.Rev
+// preferredInstances returns the IDs of the preferred instances of a service.
+func (g *Gate) preferredInstances(snap *view.Snapshot, service string) map[string]bool {
+	c := &g.preferred
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if c.byService == nil || c.rev != snap.Rev {
+		c.byService = make(map[string]map[string]bool)
+		c.rev = snap.Rev
 	}
-	if set, ok := n.by[service]; ok {
+	if set, ok := c.byService[service]; ok {
 		return set
 	}
 	list := append([]core.Instance(nil), snap.Usable(service)...)
 	set := make(map[string]bool)
-	for _, in := range route.Subset(n.name, g.opts.Domain, list, nearMost) {
+	for _, in := range route.Subset(c.entryName, g.opts.Domain, list, maxPreferred) {
 		set[in.ID] = true
 	}
-	n.by[service] = set
+	c.byService[service] = set
 	return set
 }
--- a/gate/pick.go
+++ b/gate/pick.go
@@ -10,33 +10,33 @@
 	"geraniumpass/view"
 )
 
-// pick returns the instance for the next attempt, which counts as sent there from now on, so that requests that come together don't all
-// choose the same; ok is false when there is none that has not been tried and that may be sent to.
+// pick returns the instance for the next attempt and counts the request as in flight there, so that
+// concurrent requests don't all pick the same one. ok is false if no untried instance is available.
 func (r *request) pick() (in core.Instance, ok bool) {
 	snap := r.g.view.Now()
 	now := r.g.clock.Now()
-	near := r.g.near(snap, r.service.Name)
-	alive := r.g.pulse.isAnswering(r.service.Name, now)
+	near := r.g.preferredInstances(snap, r.service.Name)
+	alive := r.g.health.isAnswering(r.service.Name, now)
 	r.g.pickMu.Lock()
 	defer r.g.pickMu.Unlock()
 	list := r.candidates(snap, now)
 	seen := make([]route.InstanceView, len(list))
 	starts := lo.Map(list, func(in core.Instance, _ int) core.Start { return in.Start() })
-	for i, b := range r.g.loads.beliefs(starts, now) {
+	for i, e := range r.g.loads.estimates(starts, now) {
 		in := list[i]
 		seen[i] = route.InstanceView{
 			Domain:      in.Domain,
-			Load:        b.load,
+			Load:        e.load,
 			Slots:       in.Slots,
 			Preferred:   near[in.ID],
 			Pace:        snap.Pace(in),
-			Penalty:     b.failures * failurePenalty,
-			HasIdleConn: r.g.pool.Idle(targetOf(in)) > 0,
-			LastResort: b.isBarred() || alive && r.g.loads.silent(in.Start(), now) > silentAfter ||
-				r.g.ended(snap, in),
+			Penalty:     e.failures * failurePenalty,
+			HasIdleConn: r.g.pool.IdleCount(targetOf(in)) > 0,
+			LastResort: e.isBarred() || alive && r.g.loads.silentFor(in.Start(), now) > maxSilence ||
+				r.g.isReplaced(snap, in),
 		}
 	}
-	i := route.LeastLoaded(seen, r.g.opts.Domain, r.g.picks)
+	i := route.LeastLoaded(seen, r.g.opts.Domain, r.g.pickRandom)
 	if i < 0 {
 		return core.Instance{}, false
 	}
@@ -47,10 +47,10 @@
 	return list[i], true
 }
 
-// candidates returns the instances that have not been tried and that are not held back, also when there is no other.
+// candidates returns the instances that were not tried yet and are not blocked.
 func (r *request) candidates(snap *view.Snapshot, now time.Time) []core.Instance {
 	fleet := fleetOf(snap)
 	return lo.Filter(snap.Usable(r.service.Name), func(in core.Instance, _ int) bool {
-		return !r.tried[in.Start()] && !r.g.isHeldBack(in.Start(), fleet, now)
+		return !r.tried[in.Start()] && !r.g.isBlocked(in.Start(), fleet, now)
 	})
 }
--- a/gate/probes.go
+++ b/gate/probes.go
@@ -11,87 +11,92 @@
 )
 
 const (
-	// probeTime bounds the question whether an instance has ended: a refusal comes within two delays between failure domains, and a caller
-	// whose request may go on elsewhere waits for it.
-	probeTime = 100 * time.Millisecond
-	// probeFresh is how long an answer to it holds for other requests, which a group of ranks loses at the same moment. An instance that ends
-	// within that time after it was found alive is missed.
-	probeFresh = 50 * time.Millisecond
-	// othersAsked is how many other instances of a failure domain are asked whether it can be reached at all; two may have ended as well.
-	othersAsked = 3
+	// probeTimeout limits a probe. A refused connection is reported within two delays between
+	// failure domains, and a caller whose request may fail over waits for the result.
+	probeTimeout = 100 * time.Millisecond
+	// probeTTL is how long a probe's result is shared with other requests, since the ranks of a
+	// group lose theirs at the same moment. An instance that ends within this time after it was
+	// found alive is missed.
+	probeTTL = 50 * time.Millisecond
+	// maxDomainProbes is how many other instances of a failure domain are probed to check whether
+	// the domain is reachable. Two of them may have ended as well.
+	maxDomainProbes = 3
 )
 
-// probes remembers the questions whether starts of instances have ended, so that requests cut at the same moment ask once.
+// probes deduplicates the checks whether an incarnation has ended, so that concurrent disconnects
+// cause one check.
 type probes struct {
-	mu sync.Mutex
-	by map[core.Start]*probe
+	mu      sync.Mutex
+	byStart map[core.Start]*probe
 }
 
 type probe struct {
-	asked time.Time
-	// done is closed once ended is known.
+	startedAt time.Time
+	// done is closed once ended and confirmed are set.
 	done  chan struct{}
 	ended bool
-	// sure is true when another instance of the failure domain was reached.
-	sure bool
+	// confirmed is set if another instance of the failure domain was reachable.
+	confirmed bool
 }
 
 func newProbes() *probes {
-	return &probes{by: make(map[core.Start]*probe)}
+	return &probes{byStart: make(map[core.Start]*probe)}
 }
 
-// find returns the probe of a start, and true when the caller has to make it.
-func (p *probes) find(start core.Start, now time.Time) (*probe, bool) {
+// findOrStart returns the probe of an incarnation, and true if the caller has to run it.
+func (p *probes) findOrStart(start core.Start, now time.Time) (*probe, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if old, ok := p.by[start]; ok && now.Sub(old.asked) < probeFresh {
-		return old, false
+	if existing, ok := p.byStart[start]; ok && now.Sub(existing.startedAt) < probeTTL {
+		return existing, false
 	}
-	made := &probe{
-		asked: now,
-		done:  make(chan struct{}),
+	fresh := &probe{
+		startedAt: now,
+		done:      make(chan struct{}),
 	}
-	p.by[start] = made
-	return made, true
+	p.byStart[start] = fresh
+	return fresh, true
 }
 
-// forget drops probes that are older than their answers hold.
-func (p *probes) forget(now time.Time) {
+// evictExpired removes probes older than probeTTL.
+func (p *probes) evictExpired(now time.Time) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for start, old := range p.by {
-		if now.Sub(old.asked) >= probeFresh {
-			delete(p.by, start)
+	for start, existing := range p.byStart {
+		if now.Sub(existing.startedAt) >= probeTTL {
+			delete(p.byStart, start)
 		}
 	}
 }
 
-// hasEnded returns whether the process of an instance's start is found to have ended, as connections to it are refused, and whether that is
-// sure: a cut between failure domains may refuse them too, and then no other instance of the domain accepts any.
-func (g *Gate) hasEnded(in core.Instance) (ended, sure bool) {
-	p, mine := g.probes.find(in.Start(), g.clock.Now())
-	if !mine {
+// hasEnded reports whether connections to an instance are refused, which means that its process has
+// ended, and whether that is confirmed. A partition between failure domains may refuse connections
+// too, but then no other instance of the domain is reachable either.
+func (g *Gate) hasEnded(in core.Instance) (ended, confirmed bool) {
+	p, owner := g.probes.findOrStart(in.Start(), g.clock.Now())
+	if !owner {
 		<-p.done
-		return p.ended, p.sure
+		return p.ended, p.confirmed
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), probeTime)
+	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	p.ended = g.pool.Refuses(ctx, targetOf(in))
-	p.sure = p.ended && g.reaches(ctx, in)
+	p.confirmed = p.ended && g.isDomainReachable(ctx, in)
 	close(p.done)
-	return p.ended, p.sure
+	return p.ended, p.confirmed
 }
 
-// reaches returns true when another instance of a failure domain accepts connections, or when there is none to ask.
-func (g *Gate) reaches(ctx context.Context, in core.Instance) bool {
+// isDomainReachable reports whether another instance in the failure domain of in accepts
+// connections. It returns true if there is no other instance to probe.
+func (g *Gate) isDomainReachable(ctx context.Context, in core.Instance) bool {
 	others := lo.Filter(g.view.Now().Instances, func(other core.Instance, _ int) bool {
 		return other.Domain == in.Domain && other.Address != in.Address && !other.Leaving
 	})
-	asked := 0
-	for at := g.draw(max(1, len(others))); asked < min(othersAsked, len(others)); asked++ {
-		if g.pool.Accepts(ctx, targetOf(others[(at+asked)%len(others)])) {
+	probed := 0
+	for offset := g.randomIntN(max(1, len(others))); probed < min(maxDomainProbes, len(others)); probed++ {
+		if g.pool.Accepts(ctx, targetOf(others[(offset+probed)%len(others)])) {
 			return true
 		}
 	}
-	return asked == 0
+	return probed == 0
 }
--- a/gate/pulse.go
+++ b/gate/pulse.go
@@ -6,73 +6,76 @@
 )
 
 const (
-	// unavailableAfter and unavailableRefusals say when a service counts as unable to serve: nothing has come from it for longer than four
-	// steps of a group take, and several requests were refused meanwhile.
+	// A service is unavailable if it began no answer for unavailableAfter, more than four steps of
+	// a group, and at least unavailableRefusals requests were refused or lost since.
 	unavailableAfter    = 400 * time.Millisecond
 	unavailableRefusals = 3
-	// answeringFor is how long after an answer began a service counts as answering: some four steps of a group.
-	answeringFor = 300 * time.Millisecond
+	// answeringWindow is how long a service counts as answering after it began an answer, about
+	// four steps of a group.
+	answeringWindow = 300 * time.Millisecond
 )
 
-// pulse is whether services answer at all, as this entry sees it: the ranks of a group fail together.
-type pulse struct {
-	mu sync.Mutex
-	by map[string]*beat
+// serviceHealth tracks whether each service answers at all, as observed by this entry. It is kept
+// per service because the ranks of a group fail together.
+type serviceHealth struct {
+	mu        sync.Mutex
+	byService map[string]*serviceState
 }
 
-type beat struct {
-	// answered is when an answer last began to come, refused how many requests found no upstream since.
-	answered time.Time
-	refused  int
+type serviceState struct {
+	// answeredAt is when an answer last began. refusals counts the requests refused or lost since.
+	answeredAt time.Time
+	refusals   int
 }
 
-func newPulse() *pulse {
-	return &pulse{by: make(map[string]*beat)}
+func newServiceHealth() *serviceHealth {
+	return &serviceHealth{byService: make(map[string]*serviceState)}
 }
 
-func (p *pulse) get(service string) *beat {
-	b := p.by[service]
-	if b == nil {
-		b = &beat{}
-		p.by[service] = b
+func (h *serviceHealth) state(service string) *serviceState {
+	s := h.byService[service]
+	if s == nil {
+		s = &serviceState{}
+		h.byService[service] = s
 	}
-	return b
+	return s
 }
 
-// answered notes that a service has begun to answer a request.
-func (p *pulse) answered(service string, now time.Time) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	b := p.get(service)
-	b.answered = now
-	b.refused = 0
+// recordAnswer records that a service began to answer a request.
+func (h *serviceHealth) recordAnswer(service string, now time.Time) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	s := h.state(service)
+	s.answeredAt = now
+	s.refusals = 0
 }
 
-// refused notes that an upstream of a service refused or lost a request.
-func (p *pulse) refused(service string) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.get(service).refused++
+// recordRefusal records that an upstream of a service refused or lost a request.
+func (h *serviceHealth) recordRefusal(service string) {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	h.state(service).refusals++
 }
 
-// isUnavailable returns true while a service seems unable to serve anything.
-func (p *pulse) isUnavailable(service string, now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	b := p.get(service)
-	return b.refused >= unavailableRefusals && now.Sub(b.answered) > unavailableAfter
+// isUnavailable reports whether a service seems unable to serve any request.
+func (h *serviceHealth) isUnavailable(service string, now time.Time) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	s := h.state(service)
+	return s.refusals >= unavailableRefusals && now.Sub(s.answeredAt) > unavailableAfter
 }
 
-// since returns how long after a moment a service last began to answer, less than zero when it has not since.
-func (p *pulse) since(service string, t time.Time) time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.get(service).answered.Sub(t)
+// answeredAfter returns the time from t to the last answer that a service began, negative if it
+// began none since t.
+func (h *serviceHealth) answeredAfter(service string, t time.Time) time.Duration {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return h.state(service).answeredAt.Sub(t)
 }
 
-// isAnswering returns true when an answer of the service has begun lately.
-func (p *pulse) isAnswering(service string, now time.Time) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return now.Sub(p.get(service).answered) < answeringFor
+// isAnswering reports whether the service began an answer within answeringWindow.
+func (h *serviceHealth) isAnswering(service string, now time.Time) bool {
+	h.mu.Lock()
+	defer h.mu.Unlock()
+	return now.Sub(h.state(service).answeredAt) < answeringWindow
 }
--- a/gate/reply.go
+++ b/gate/reply.go
@@ -6,28 +6,30 @@
 	"geraniumpass/quota"
 )
 
-// Reply is what an upstream's answer says of itself beside its status and body.
+// Reply holds the metadata of an upstream's answer that its headers carry.
 type Reply struct {
-	// ID is the attempt that the answer belongs to, empty when it doesn't say.
+	// ID is the attempt that the answer belongs to, empty if unstated.
 	ID string
-	// Signed is true when the answer carries an upstream's receipt.
+	// Signed reports whether the answer carries an upstream's signature.
 	Signed bool
-	// NotRun is true when the upstream promises that it did not run the request.
-	NotRun bool
-	// Running, Waiting and Slots are the upstream's load; Slots is zero when it doesn't tell.
+	// NotExecuted reports whether the upstream guarantees that it did not run the request.
+	NotExecuted bool
+	// Running, Waiting and Slots are the upstream's load; Slots is zero if unstated.
 	Running int
 	Waiting int
 	Slots   int
-	// Idle is how long the upstream keeps the connection open, zero when it doesn't say.
+	// Idle is how long the upstream keeps the connection open, zero if unstated.
 	Idle time.Duration
-	// Leaving is true when the upstream says that it leaves.
+	// Leaving reports whether the upstream announces that it leaves.
 	Leaving bool
-	// Rest is for how long an upstream that refused the request wants none from this entry, zero when it doesn't say.
-	Rest time.Duration
-	// Limit is what the upstream takes from all entries together; LimitUnclear is true when that could not be understood, which is not the
-	// same as none.
+	// Cooldown is how long an upstream that refused the request wants no requests from this entry,
+	// zero if unstated.
+	Cooldown time.Duration
+	// Limit is what the upstream accepts from all entries together. LimitInvalid is set if the
+	// stated limit could not be parsed, which is not the same as no limit.
 	Limit        quota.Limit
-	LimitUnclear bool
-	// Invalid says which of the statements above could not be understood and is left out, nil when all could.
+	LimitInvalid bool
+	// Invalid is the error of the statements above that could not be parsed and were left out, nil
+	// if none.
 	Invalid error
 }
--- a/gate/request.go
+++ b/gate/request.go
@@ -12,11 +12,11 @@
 	"geraniumpass/view"
 )
 
-// request is one caller's request while it is answered.
+// request is the state of one caller's request while it is in flight.
 type request struct {
 	g    *Gate
 	w    http.ResponseWriter
-	in   *http.Request
+	req  *http.Request
 	ctx  context.Context
 	body []byte
 
@@ -26,60 +26,63 @@
 	account string
 	service *plan.Service
 
-	came time.Time
-	// begun is when the first byte of an upstream's answer came, zero before.
-	begun time.Time
-	// spent is how much of its time the caller had spent before it asked here.
-	spent time.Duration
-	// until is when the final answer is due.
-	until time.Time
-	// firstEventDue is when the first event of a stream is due, zero when it has no time of its own; the caller leaves soon after.
-	firstEventDue time.Time
+	receivedAt time.Time
+	// firstByteAt is when the first byte of an upstream's answer arrived, zero before.
+	firstByteAt time.Time
+	// spentBefore is how much of its time the caller had used before this request.
+	spentBefore time.Duration
+	// deadline is when the final answer is due.
+	deadline time.Time
+	// firstEventDeadline is when the first event of a stream is due, zero if it has no deadline of
+	// its own. The caller disconnects soon after.
+	firstEventDeadline time.Time
 
-	// sends counts upstreams that were sent at least a byte, tried names them.
+	// sends counts the attempts of which at least a byte was sent; tried holds the instances.
 	sends int
 	tried map[core.Start]bool
-	// paid is true while a repeat has been taken of the allowance and not been made.
-	paid bool
-	// doubt is true once a send may have run without an answer.
-	doubt bool
-	// failure is an upstream's whole answer that a repeat may still better.
-	failure *answer
-	// permit is what the next send takes of an instance's limit.
+	// retryReserved is set while a retry was taken from the budget and not used yet.
+	retryReserved bool
+	// mayHaveRun is set once a request was sent whose answer was lost.
+	mayHaveRun bool
+	// failedAnswer is a complete answer with a failure, sent to the caller if no retry succeeds.
+	failedAnswer *answer
+	// permit is the share of an instance's limit held by the next attempt.
 	permit quota.Permit
-	// stream is what has been passed on of a stream.
-	stream delivered
-	// digest is what the request is known by when it comes again, once hashed.
+	// stream is the progress of the event stream at the caller.
+	stream streamProgress
+	// digest identifies repetitions of the request; it is valid once hashed is set.
 	digest crash.Digest
 	hashed bool
-	// instance is the last one sent to, and refused the last one's reason.
-	instance string
-	reason   string
+	// lastInstance is the ID of the last instance tried, reason the cause of the last failure.
+	lastInstance string
+	reason       string
 }
 
-// delivered is how far a stream has come at the caller.
-type delivered struct {
-	begun bool
-	// last is the last event passed on, negative before the first.
-	last int64
-	// at is when events were last passed on, pause the longest time between two of them.
-	at    time.Time
-	pause time.Duration
-	// unnumbered is true once an event without a number has been passed on, after which no other run knows where to go on.
-	unnumbered bool
+// streamProgress is how much of a stream the caller has received.
+type streamProgress struct {
+	started bool
+	// lastEvent is the number of the last event forwarded, negative before the first.
+	lastEvent int64
+	// lastAt is when events were last forwarded, maxPause the longest time between two forwards.
+	lastAt   time.Time
+	maxPause time.Duration
+	// hasUnnumbered is set once an event without a number was forwarded. The stream then can't be
+	// resumed by another run.
+	hasUnnumbered bool
 }
 
-// answer is an upstream's whole answer.
+// answer is a complete answer of an upstream.
 type answer struct {
 	status int
 	header http.Header
 	body   []byte
 }
 
-// due is when the next that the caller waits for has to have come: a stream's first event, or the end of the answer.
-func (r *request) due() time.Time {
-	if r.stream.begun || r.firstEventDue.IsZero() {
-		return r.until
+// nextDeadline returns the deadline of what the caller waits for next: the first event of a stream,
+// or the end of the answer.
+func (r *request) nextDeadline() time.Time {
+	if r.stream.started || r.firstEventDeadline.IsZero() {
+		return r.deadline
 	}
-	return earlier(r.until, r.firstEventDue)
+	return earlier(r.deadline, r.firstEventDeadline)
 }
--- a/gate/rests.go
+++ b/gate/rests.go
@@ -7,67 +7,70 @@
 	"geraniumpass/core"
 )
 
-// bornSlack is how far the clocks of instances and entries may differ.
-const bornSlack = 2 * time.Second
+// maxClockSkew is how far the clocks of instances and entries may differ.
+const maxClockSkew = 2 * time.Second
 
-// rests keeps until when instances want nothing from this entry, by their ids.
-type rests struct {
-	mu sync.Mutex
-	by map[string]rest
+// cooldowns holds the time until which instances accept no requests from this entry, by instance
+// ID.
+type cooldowns struct {
+	mu   sync.Mutex
+	byID map[string]cooldown
 }
 
-// rest is the newest that the starts under one id have asked for.
-type rest struct {
-	// start is the one that the refused request was sent to.
-	start core.Start
-	asked time.Time
-	until time.Time
+// cooldown is the latest cooldown requested by the incarnations of one instance ID.
+type cooldown struct {
+	// start is the incarnation that the refused request was sent to.
+	start       core.Start
+	requestedAt time.Time
+	until       time.Time
 }
 
-func newRests() *rests {
-	return &rests{by: make(map[string]rest)}
+func newCooldowns() *cooldowns {
+	return &cooldowns{byID: make(map[string]cooldown)}
 }
 
-// ask notes that an instance has just asked for rest until a moment. The latest of several holds, also when an answer to another request
-// tells of a shorter one.
-func (r *rests) ask(start core.Start, now, until time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	old := r.by[start.ID]
-	if start.StartedAt < old.start.StartedAt || old.holdsFor(start) && !until.After(old.until) {
+// record stores a cooldown that an instance has just requested. The latest end wins, so that a
+// shorter cooldown from another answer doesn't cut it short.
+func (c *cooldowns) record(start core.Start, now, until time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	previous := c.byID[start.ID]
+	if start.StartedAt < previous.start.StartedAt || previous.appliesTo(start) && !until.After(previous.until) {
 		return
 	}
-	r.by[start.ID] = rest{
-		start: start,
-		asked: now,
-		until: until,
+	c.byID[start.ID] = cooldown{
+		start:       start,
+		requestedAt: now,
+		until:       until,
 	}
 }
 
-// left returns how long an instance still rests, zero when it doesn't.
-func (r *rests) left(start core.Start, now time.Time) time.Duration {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	asked := r.by[start.ID]
-	if !asked.holdsFor(start) {
+// remaining returns how long the cooldown of an instance still lasts, zero if it has none.
+func (c *cooldowns) remaining(start core.Start, now time.Time) time.Duration {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	current := c.byID[start.ID]
+	if !current.appliesTo(start) {
 		return 0
 	}
-	return max(0, asked.until.Sub(now))
+	return max(0, current.until.Sub(now))
 }
 
-// holdsFor returns true for a start that may have asked for the rest: the one that the request was sent to, or a later one that had begun by
-// then, as an entry hears late of a start under an id that it knows.
-func (r rest) holdsFor(start core.Start) bool {
-	return start == r.start || start.StartedAt > r.start.StartedAt && time.UnixMilli(start.StartedAt).Before(r.asked.Add(bornSlack))
+// appliesTo reports whether the incarnation start may have requested the cooldown. That is the one
+// that the request was sent to, or a later one that had started by then, because an entry learns of
+// a restart under a known ID with a delay.
+func (c cooldown) appliesTo(start core.Start) bool {
+	return start == c.start || start.StartedAt > c.start.StartedAt && time.UnixMilli(start.StartedAt).Before(c.requestedAt.Add(maxClockSkew))
 }
 
-// forget drops rests that are over. One of an instance that is not listed is kept: its entry may come back.
-func (r *rests) forget(now time.Time) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	for id, asked := range r.by {
-		if !now.Before(asked.until) {
-			delete(r.by, id)
+// evictExpired removes expired cooldowns. Cooldowns of unlisted instances are kept, because their
+// list entries may come back.
+func (c *cooldowns) evictExpired(now time.Time) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	for id, current := range c.byID {
+		if !now.Before(current.until) {
+			delete(c.byID, id)
 		}
 	}
 }
--- a/gate/rests_test.go
+++ b/gate/rests_test.go
@@ -7,9 +7,10 @@
 	"geraniumpass/core"
 )
 
-// TestRestOfSeveralAnswers guards against a rest that ends early since another answer asked for less, or that outlives its start or its time.
-func TestRestOfSeveralAnswers(t *testing.T) {
-	// The rest is asked for 1,000 s after the epoch, from which starts count in milliseconds.
+// TestCooldownFromSeveralAnswers guards against a cooldown that ends early because another answer
+// requested a shorter one, or that outlasts its incarnation or its time.
+func TestCooldownFromSeveralAnswers(t *testing.T) {
+	// The cooldown is requested 1,000 s after the Unix epoch; Born is in milliseconds.
 	start := core.Start{ID: "i-1", StartedAt: 900_000}
 	tests := []struct {
 		name  string
@@ -35,18 +36,18 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			began := time.Unix(1_000, 0)
-			r := newRests()
+			requestedAt := time.Unix(1_000, 0)
+			r := newCooldowns()
 			for _, until := range tt.until {
-				r.ask(start, began, began.Add(until))
+				r.record(start, requestedAt, requestedAt.Add(until))
 			}
-			now := began.Add(tt.at)
-			if got := r.left(tt.start, now); got != tt.want {
-				t.Errorf("%v left, want %v", got, tt.want)
+			now := requestedAt.Add(tt.at)
+			if got := r.remaining(tt.start, now); got != tt.want {
+				t.Errorf("%v remaining, want %v", got, tt.want)
 			}
-			r.forget(now)
-			if got := r.left(tt.start, now); got != tt.want {
-				t.Errorf("%v left after what is over was forgotten, want %v", got, tt.want)
+			r.evictExpired(now)
+			if got := r.remaining(tt.start, now); got != tt.want {
+				t.Errorf("%v remaining after eviction, want %v", got, tt.want)
 			}
 		})
 	}
--- a/gate/sending.go
+++ b/gate/sending.go
@@ -2,15 +2,16 @@
 
 import "time"
 
-// Sending is what one attempt at an upstream adds to the caller's request.
-type Sending struct {
+// AttemptInfo holds the metadata that one attempt adds to the caller's request.
+type AttemptInfo struct {
 	Instance string
-	// Left is the time that remains for the answer.
-	Left time.Duration
-	// Account is the client account's name, empty without one.
+	// Remaining is the time left for the answer.
+	Remaining time.Duration
+	// Account is the client account's name, empty if none.
 	Account string
-	// Late is true when the answer can't begin in time any more, so that others go first.
+	// Late reports whether the answer can't begin in time any more, so that other requests take
+	// precedence.
 	Late bool
-	// LastEvent is the last event delivered, negative when there is none.
+	// LastEvent is the number of the last event delivered, negative if none.
 	LastEvent int64
 }
--- a/gate/serve.go
+++ b/gate/serve.go
@@ -15,41 +15,46 @@
 )
 
 const (
-	// callerMargin is kept of a caller's own time so that the final answer still reaches it: several delays between caller and entry.
+	// callerMargin is subtracted from a caller's budget so that the final answer still reaches the
+	// caller. It covers several network delays between caller and entry.
 	callerMargin = 20 * time.Millisecond
-	// firstEventMargin is how long before its caller would leave a stream that has no event yet gets its final answer: several times what a
-	// busy entry takes to wake. A caller who leaves first gets no answer, and a server that stands still can't be told to stop.
+	// firstEventMargin is how long before its caller would disconnect a stream without an event
+	// gets its final answer, several times the wake-up delay of a busy entry. A caller that
+	// disconnects first gets no answer, and a stalled server can't be told to stop.
 	firstEventMargin = 100 * time.Millisecond
-	// usualBudget stands in for the time of a route and a caller that both name none.
-	usualBudget = 30 * time.Second
-	// noTableBackoff is when a caller comes back to an entry that knows no table yet; one is read within some ms of the store's answer.
+	// defaultBudget applies if neither the route nor the caller sets a time limit.
+	defaultBudget = 30 * time.Second
+	// noTableBackoff is the Retry-After while the entry has no routing table, which is loaded
+	// within milliseconds of the store's answer.
 	noTableBackoff = 500 * time.Millisecond
 )
 
-// ServeHTTP answers one request.
-func (g *Gate) ServeHTTP(w http.ResponseWriter, in *http.Request) {
+// ServeHTTP handles one request.
+func (g *Gate) ServeHTTP(w http.ResponseWriter, req *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	r := &request{
-		g:     g,
-		w:     w,
-		in:    in,
-		ctx:   in.Context(),
-		snap:  g.view.Now(),
-		came:  g.clock.Now(),
-		tried: make(map[core.Start]bool),
+		g:          g,
+		w:          w,
+		req:        req,
+		ctx:        req.Context(),
+		snap:       g.view.Now(),
+		receivedAt: g.clock.Now(),
+		tried:      make(map[core.Start]bool),
 	}
 	status := r.serve()
-	r.note(status)
-	if status == statusGone || status == statusBroken {
-		r.breakOff()
+	r.recordOutcome(status)
+	if status == statusCallerGone || status == statusAborted {
+		r.abortConnection()
 	}
 }
 
-// breakOff ends the caller's connection so that it doesn't take what it has for a whole answer.
-func (r *request) breakOff() {
-	if !r.in.ProtoAtLeast(1, 1) {
-		// Such a caller knows no chunks: a connection that is closed in order is the end of a whole answer for it, a reset is not.
+// abortConnection closes the caller's connection so that a partial answer isn't taken for a
+// complete one.
+func (r *request) abortConnection() {
+	if !r.req.ProtoAtLeast(1, 1) {
+		// HTTP/1.0 callers don't know chunked encoding and take an orderly close for the end of a
+		// complete answer, so the connection is reset.
 		if c, _, err := http.NewResponseController(r.w).Hijack(); err == nil {
 			if t, ok := c.(*net.TCPConn); ok {
 				_ = t.SetLinger(0)
@@ -61,25 +66,25 @@
 	panic(http.ErrAbortHandler)
 }
 
-// Statuses of requests that end without a status line of their own.
+// Status values of requests that end without a status line.
 const (
-	statusGone   = -1
-	statusBroken = -2
+	statusCallerGone = -1
+	statusAborted    = -2
 )
 
-// notBegun stands in the log for a request that no upstream began to answer.
-const notBegun = -1
+// noFirstByte is logged for a request that no upstream began to answer.
+const noFirstByte = -1
 
-// serve returns the status that the caller got.
+// serve handles the request and returns the status sent to the caller.
 func (r *request) serve() int {
-	if r.g.leaving.Load() {
+	if r.g.draining.Load() {
 		r.w.Header().Set("Connection", "close")
 	}
 	if r.snap.Table == nil {
-		return r.refuse("no_table", noTableBackoff)
+		return r.reject("no_table", noTableBackoff)
 	}
-	call, err := r.g.dialect.Read(r.in.Header)
-	if err != nil || !strings.HasPrefix(r.in.RequestURI, "/") {
+	call, err := r.g.dialect.Read(r.req.Header)
+	if err != nil || !strings.HasPrefix(r.req.RequestURI, "/") {
 		r.w.Header().Set("Connection", "close")
 		return r.fail(http.StatusBadRequest, "bad_request")
 	}
@@ -90,17 +95,17 @@
 	if status := r.readBody(); status != 0 {
 		return status
 	}
-	r.stream.last = call.LastEvent
+	r.stream.lastEvent = call.LastEvent
 	if r.route.Kind == plan.KindStream && r.route.Patience > firstEventMargin {
-		r.firstEventDue = r.g.clock.Now().Add(r.route.Patience - firstEventMargin)
+		r.firstEventDeadline = r.g.clock.Now().Add(r.route.Patience - firstEventMargin)
 	}
-	return r.exchange()
+	return r.tryUpstreams()
 }
 
-// admit finds the route and the account; it returns zero when the request may go on.
+// admit resolves route, account and service. It returns zero if the request is admitted.
 func (r *request) admit() int {
-	path, _, _ := strings.Cut(r.in.RequestURI, "?")
-	r.route = r.snap.Table.Match(r.in.Host, path)
+	path, _, _ := strings.Cut(r.req.RequestURI, "?")
+	r.route = r.snap.Table.Match(r.req.Host, path)
 	if r.route == nil {
 		return r.fail(http.StatusNotFound, "no_route")
 	}
@@ -111,21 +116,21 @@
 	}
 	limit := r.route.Timeout
 	if limit <= 0 {
-		limit = usualBudget
+		limit = defaultBudget
 	}
 	if r.call.Budget > 0 {
 		limit = min(limit, r.call.Budget-callerMargin)
 	}
-	r.until = r.came.Add(limit)
-	r.spent = r.g.budgets.spent(r.route, r.call.Budget, r.came)
+	r.deadline = r.receivedAt.Add(limit)
+	r.spentBefore = r.g.budgets.spent(r.route, r.call.Budget, r.receivedAt)
 	r.service = r.pickService()
 	if r.service == nil {
-		return r.refuse("no_service", noTableBackoff)
+		return r.reject("no_service", noTableBackoff)
 	}
 	return 0
 }
 
-// pickService draws one of the route's services by weight.
+// pickService picks one of the route's services at random by weight.
 func (r *request) pickService() *plan.Service {
 	sum := 0
 	for _, s := range r.route.Shares {
@@ -134,7 +139,7 @@
 	if sum <= 0 {
 		return nil
 	}
-	n := r.g.draw(sum)
+	n := r.g.randomIntN(sum)
 	for _, s := range r.route.Shares {
 		if n -= s.Weight; n < 0 {
 			return r.snap.Table.Service(s.Service)
@@ -143,40 +148,40 @@
 	return nil
 }
 
-// readBody takes the whole body in, so that nothing reaches an upstream of a request that can't be completed.
+// readBody buffers the whole body, so that no part of an incomplete request reaches an upstream.
 func (r *request) readBody() int {
-	if r.in.ContentLength == 0 {
+	if r.req.ContentLength == 0 {
 		return 0
 	}
-	if most := r.snap.Table.Limits.BodyBytes; most > 0 {
-		r.in.Body = http.MaxBytesReader(r.w, r.in.Body, int64(most))
+	if limit := r.snap.Table.Limits.BodyBytes; limit > 0 {
+		r.req.Body = http.MaxBytesReader(r.w, r.req.Body, int64(limit))
 	}
-	_ = http.NewResponseController(r.w).SetReadDeadline(r.until)
-	body, err := io.ReadAll(r.in.Body)
+	_ = http.NewResponseController(r.w).SetReadDeadline(r.deadline)
+	body, err := io.ReadAll(r.req.Body)
 	_ = http.NewResponseController(r.w).SetReadDeadline(time.Time{})
-	var large *http.MaxBytesError
+	var tooLarge *http.MaxBytesError
 	switch {
 	case err == nil:
 		r.body = body
 		return 0
-	case errors.As(err, &large):
+	case errors.As(err, &tooLarge):
 		return r.fail(http.StatusRequestEntityTooLarge, "too_large")
 	case r.ctx.Err() != nil:
-		return statusGone
-	case r.g.clock.Now().After(r.until):
+		return statusCallerGone
+	case r.g.clock.Now().After(r.deadline):
 		return r.fail(http.StatusRequestTimeout, "body_late")
 	}
 	r.w.Header().Set("Connection", "close")
 	return r.fail(http.StatusBadRequest, "body_broken")
 }
 
-// refuse promises that the request has not run and says when to come back.
-func (r *request) refuse(reason string, after time.Duration) int {
+// reject answers 503 with a Retry-After, which guarantees that the request was not executed.
+func (r *request) reject(reason string, after time.Duration) int {
 	r.w.Header().Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 3, 64))
 	return r.fail(http.StatusServiceUnavailable, reason)
 }
 
-// fail ends the request with a status of this system's own.
+// fail ends the request with a status generated by the entry.
 func (r *request) fail(status int, reason string) int {
 	r.reason = reason
 	h := r.w.Header()
@@ -187,9 +192,9 @@
 	return status
 }
 
-// note logs and counts how the request ended.
-func (r *request) note(status int) {
-	took := r.g.since(r.came)
+// recordOutcome logs and counts how the request ended.
+func (r *request) recordOutcome(status int) {
+	took := r.g.elapsed(r.receivedAt)
 	name, aim := "none", time.Duration(0)
 	if r.route != nil {
 		name, aim = r.route.Name, r.route.Aim
@@ -207,22 +212,23 @@
 	if r.snap.Table != nil {
 		version = r.snap.Table.Version
 	}
-	r.g.log.Info("request", "id", r.call.ID, "route", name, "status", status, "reason", r.reason, "instance", r.instance,
-		"sends", r.sends, "ms", took.Milliseconds(), "begun_ms", r.begunAfter(), "event", r.stream.last, "pause_ms", r.stream.pause.Milliseconds(), "table", version, "rev", r.snap.Rev)
+	r.g.log.Info("request", "id", r.call.ID, "route", name, "status", status, "reason", r.reason, "instance", r.lastInstance,
+		"sends", r.sends, "ms", took.Milliseconds(), "begun_ms", r.firstByteMillis(), "event", r.stream.lastEvent, "pause_ms", r.stream.maxPause.Milliseconds(), "table", version, "rev", r.snap.Rev)
 }
 
-// begunAfter is the time in ms from the request to the first byte of an upstream's answer, -1 when none came: a request that an upstream
-// took in and did not begin is told from one that it was working on.
-func (r *request) begunAfter() int64 {
-	if r.begun.IsZero() {
-		return notBegun
+// firstByteMillis returns the time in milliseconds from the request to the first byte of an
+// upstream's answer, or noFirstByte. It tells requests that an upstream accepted but did not begin
+// from those it was working on.
+func (r *request) firstByteMillis() int64 {
+	if r.firstByteAt.IsZero() {
+		return noFirstByte
 	}
-	return r.begun.Sub(r.came).Milliseconds()
+	return r.firstByteAt.Sub(r.receivedAt).Milliseconds()
 }
 
 func resultOf(status int) meter.Result {
 	switch {
-	case status == statusGone:
+	case status == statusCallerGone:
 		return meter.ResultGone
 	case status >= 200 && status < 300:
 		return meter.ResultWhole
--- a/gate/stream.go
+++ b/gate/stream.go
@@ -11,127 +11,132 @@
 )
 
 const (
-	// readChunk is how much of a stream is read at once, in bytes; an event holds some hundred.
-	readChunk = 4 << 10
-	// maxEvent bounds what is kept of an event that has not ended yet, in bytes.
-	maxEvent = 1 << 20
+	// readChunkBytes is the size of a read from a stream; an event has some hundred bytes.
+	readChunkBytes = 4 << 10
+	// maxEventBytes limits the buffered part of an incomplete event.
+	maxEventBytes = 1 << 20
 )
 
-// eventEnd separates events (the event stream format of the HTML standard).
-var eventEnd = []byte("\n\n")
+// eventSeparator separates events (event stream format of the HTML standard).
+var eventSeparator = []byte("\n\n")
 
-// passStream passes whole events on as they come; a run that breaks off leaves the caller at the end of an event.
-func (a *attempt) passStream(resp *http.Response) (verdict, int) {
+// forwardStream forwards complete events as they arrive. If the stream breaks off, the caller has
+// received it up to the end of an event.
+func (a *attempt) forwardStream(resp *http.Response) (verdict, int) {
 	r := a.r
-	resumed := r.stream.begun
+	resumed := r.stream.started
 	var pending []byte
-	chunk := make([]byte, readChunk)
+	chunk := make([]byte, readChunkBytes)
 	for {
-		if err := a.awaitMore(resp); err != nil {
-			r.reason = cutReason(err)
-			a.cut = isCut(err)
-			return a.gone(verdictLost), 0
+		if err := a.awaitMoreData(resp); err != nil {
+			r.reason = disconnectReason(err)
+			a.disconnected = isDisconnect(err)
+			return a.orCallerGone(verdictLost), 0
 		}
 		n, err := resp.Body.Read(chunk)
 		pending = append(pending, chunk[:n]...)
-		if end := bytes.LastIndex(pending, eventEnd); end >= 0 {
-			end += len(eventEnd)
-			last, ok := lastInOrder(pending[:end], r.stream.last)
+		if end := bytes.LastIndex(pending, eventSeparator); end >= 0 {
+			end += len(eventSeparator)
+			last, ok := lastEventInOrder(pending[:end], r.stream.lastEvent)
 			numbered := allNumbered(pending[:end])
 			if !ok || resumed && !numbered {
-				// What another run sends without a number can't be told from bytes that are none of the stream.
+				// Unnumbered events from another run can't be told from bytes that aren't part of
+				// the stream.
 				r.reason = "event_order"
-				return a.gone(verdictLost), 0
+				return a.orCallerGone(verdictLost), 0
 			}
 			if !r.deliver(resp, pending[:end]) {
-				return verdictGone, 0
+				return verdictCallerGone, 0
 			}
-			// What was due for the first event is for the whole stream from here on.
-			_ = a.conn.SetDeadline(r.due())
-			r.stream.passed(r.g.clock.Now())
-			r.stream.last = last
-			r.stream.unnumbered = r.stream.unnumbered || !numbered
+			// The deadline of the first event no longer applies.
+			_ = a.conn.SetDeadline(r.nextDeadline())
+			r.stream.recordDelivery(r.g.clock.Now())
+			r.stream.lastEvent = last
+			r.stream.hasUnnumbered = r.stream.hasUnnumbered || !numbered
 			pending = append(pending[:0], pending[end:]...)
 		}
-		if err == nil && len(pending) <= maxEvent {
+		if err == nil && len(pending) <= maxEventBytes {
 			continue
 		}
 		if !errors.Is(err, io.EOF) {
 			r.reason = "stream_cut"
-			a.cut = isCut(err)
-			return a.gone(verdictLost), 0
+			a.disconnected = isDisconnect(err)
+			return a.orCallerGone(verdictLost), 0
 		}
-		return a.endStream(resp, pending, resumed)
+		return a.finishStream(resp, pending, resumed)
 	}
 }
 
-// passed notes that events have been passed on.
-func (d *delivered) passed(now time.Time) {
-	if !d.at.IsZero() {
-		d.pause = max(d.pause, now.Sub(d.at))
+// recordDelivery records that events were forwarded at now.
+func (p *streamProgress) recordDelivery(now time.Time) {
+	if !p.lastAt.IsZero() {
+		p.maxPause = max(p.maxPause, now.Sub(p.lastAt))
 	}
-	d.at = now
+	p.lastAt = now
 }
 
-// cutReason tells a stream that was left from one that broke off.
-func cutReason(err error) string {
-	var silent *SilentError
+// disconnectReason tells a failover after silence from a stream that broke off.
+func disconnectReason(err error) string {
+	var silent *SilenceTimeoutError
 	if errors.As(err, &silent) {
 		return "stream_silent"
 	}
 	return "stream_cut"
 }
 
-// awaitMore waits for more of a stream that has begun. An instance that falls silent is left for another while other instances of its
-// service have begun answers since: one whose machine stands still says nothing, not even that it is gone, and the caller leaves a stream
-// that pauses. The ranks of a group pause together, so that a slow or held group leaves nobody. A stream is never ended because of a pause.
-func (a *attempt) awaitMore(resp *http.Response) error {
+// awaitMoreData waits for more data of a stream that has begun. The request fails over from a
+// silent instance if its service has begun answers since: a frozen machine doesn't even close its
+// connections, and the caller disconnects from a stream that pauses. The ranks of a group pause
+// together, so a slow or paused group causes no failover. A pause alone never ends a stream.
+func (a *attempt) awaitMoreData(resp *http.Response) error {
 	r := a.r
-	if !r.stream.begun || !r.route.Repeatable() || resp.ContentLength == 0 || a.conn.Reader.Buffered() > 0 {
+	if !r.stream.started || !r.route.Repeatable() || resp.ContentLength == 0 || a.conn.Reader.Buffered() > 0 {
 		return nil
 	}
-	heard := r.g.clock.Now()
-	patience := r.streamPatience()
+	lastData := r.g.clock.Now()
+	wait := r.streamSilenceTimeout()
 	for {
-		_ = a.conn.SetDeadline(earlier(r.until, r.g.clock.Now().Add(patience)))
+		_ = a.conn.SetDeadline(earlier(r.deadline, r.g.clock.Now().Add(wait)))
 		_, err := a.conn.Reader.Peek(1)
 		if err == nil || errors.Is(err, io.EOF) {
-			return a.conn.SetDeadline(r.until)
+			return a.conn.SetDeadline(r.deadline)
 		}
 		var timeout net.Error
 		now := r.g.clock.Now()
-		if !errors.As(err, &timeout) || !timeout.Timeout() || !now.Before(r.until) {
-			// A connection tells of a reset only once; after that it would look as if the answer had come to its end.
+		if !errors.As(err, &timeout) || !timeout.Timeout() || !now.Before(r.deadline) {
+			// A connection reports a reset only once. A later read would look like the end of the
+			// answer.
 			return err
 		}
-		if r.g.pulse.since(r.service.Name, heard) > answeringFor && r.canFailOver() {
-			return &SilentError{For: now.Sub(heard)}
+		if r.g.health.answeredAfter(r.service.Name, lastData) > answeringWindow && r.canFailOver() {
+			return &SilenceTimeoutError{Duration: now.Sub(lastData)}
 		}
-		patience = silencePoll
+		wait = silencePollInterval
 	}
 }
 
-// endStream passes on what follows the last event of an answer that came to its end.
-func (a *attempt) endStream(resp *http.Response, rest []byte, resumed bool) (verdict, int) {
+// finishStream forwards the data after the last event of an answer that has ended.
+func (a *attempt) finishStream(resp *http.Response, remaining []byte, resumed bool) (verdict, int) {
 	r := a.r
 	framed := resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
-	if (!framed || resumed) && len(rest) > 0 {
-		// An answer without a length that ends within an event was cut, and what another run sends beside events doesn't belong to it.
+	if (!framed || resumed) && len(remaining) > 0 {
+		// An answer without a length that ends within an event was truncated, and data other than
+		// events from another run doesn't belong to this stream.
 		r.reason = "stream_cut"
-		a.cut = true
-		return a.gone(verdictLost), 0
+		a.disconnected = true
+		return a.orCallerGone(verdictLost), 0
 	}
-	if !r.deliver(resp, rest) {
-		return verdictGone, 0
+	if !r.deliver(resp, remaining) {
+		return verdictCallerGone, 0
 	}
-	a.finished = framed && a.reusable(resp)
+	a.reuseConn = framed && a.isConnReusable(resp)
 	return verdictDone, resp.StatusCode
 }
 
-// deliver writes bytes of a stream to the caller, the first run's headers before the first of them.
+// deliver writes stream data to the caller, preceded by the headers of the first run.
 func (r *request) deliver(resp *http.Response, b []byte) bool {
-	if !r.stream.begun {
-		r.stream.begun = true
+	if !r.stream.started {
+		r.stream.started = true
 		copyAnswerHeader(r.w.Header(), resp.Header)
 		r.w.WriteHeader(resp.StatusCode)
 	}
@@ -149,8 +154,9 @@
 	return true
 }
 
-// lastInOrder returns the number of the last of whole events, and false when one does not follow the one before; last is negative before the first.
-func lastInOrder(events []byte, last int64) (int64, bool) {
+// lastEventInOrder returns the number of the last event, and false if an event doesn't directly
+// follow the one before. last is the number before events, negative if there is none.
+func lastEventInOrder(events []byte, last int64) (int64, bool) {
 	for _, line := range bytes.Split(events, []byte("\n")) {
 		v, ok := bytes.CutPrefix(line, []byte("id:"))
 		if !ok {
@@ -165,9 +171,10 @@
 	return last, true
 }
 
-// allNumbered returns true when each of whole events has a number, but for those that only keep a connection open.
+// allNumbered reports whether each event has a number, except for those that only keep the
+// connection open.
 func allNumbered(events []byte) bool {
-	for _, event := range bytes.Split(events, eventEnd) {
+	for _, event := range bytes.Split(events, eventSeparator) {
 		carries, numbered := false, false
 		for _, line := range bytes.Split(event, []byte("\n")) {
 			numbered = numbered || bytes.HasPrefix(line, []byte("id:"))
--- a/group/agent.go
+++ b/group/agent.go
@@ -124,7 +124,7 @@
 // machine is suspended; the wall clock jumps when it is set.
 func (a *Agent) pause(ctx context.Context, wait time.Duration) {
 	before := a.Clock.Now()
-	retry.Pause(ctx, wait)
+	retry.Sleep(ctx, wait)
 	now := a.Clock.Now()
 	steady := now.Sub(before)
 	daytime := now.Round(0).Sub(before.Round(0))
--- a/group/election.go
+++ b/group/election.go
@@ -35,13 +35,13 @@
 	for ctx.Err() == nil {
 		rep, due := m.campaignDue()
 		if !due {
-			retry.Pause(ctx, campaignInterval)
+			retry.Sleep(ctx, campaignInterval)
 			continue
 		}
 		fence, err := m.campaign(ctx, rep)
 		if err != nil {
 			m.Log.Info("campaign failed", "group", rep.Group, "error", err)
-			retry.Pause(ctx, campaignBackoff)
+			retry.Sleep(ctx, campaignBackoff)
 			continue
 		}
 		m.lead(ctx, rep, fence)
@@ -54,7 +54,7 @@
 	for ctx.Err() == nil {
 		rep, known := m.Agent.Report()
 		if !known || rep.Group == "" {
-			retry.Pause(ctx, campaignInterval)
+			retry.Sleep(ctx, campaignInterval)
 			continue
 		}
 		v, err := m.Store.Get(ctx, m.key(rep))
--- a/group/orders.go
+++ b/group/orders.go
@@ -105,7 +105,7 @@
 			return ans, rep
 		}
 		if !sent {
-			retry.Pause(ctx, orderPollInterval)
+			retry.Sleep(ctx, orderPollInterval)
 		}
 	}
 	return shift.VerdictNotReady, Report{}
--- a/group/slow.go
+++ b/group/slow.go
@@ -87,10 +87,10 @@
 			var err error
 			if revision, err = s.write(ctx, list, revision); err != nil {
 				s.log.Warn("cannot write slow ranks to the store, retrying", "key", s.key, "error", err)
-				retry.Pause(ctx, slowRetryBackoff)
+				retry.Sleep(ctx, slowRetryBackoff)
 				continue
 			}
-			retry.Pause(ctx, slowWriteInterval)
+			retry.Sleep(ctx, slowWriteInterval)
 			written = true
 		}
 		select {
--- a/leave/doc.go
+++ b/leave/doc.go
@@ -1,2 +1,3 @@
-// Package leave knows which starts of instances have said in an answer that they leave.
+// Package leave tracks the instances that announced in an answer that they leave, by incarnation
+// (core.Start).
 package leave
--- a/leave/registry.go
+++ b/leave/registry.go
@@ -11,126 +11,128 @@
 )
 
 const (
-	// kept is how long a start is remembered, far longer than an instance that leaves goes on: its entry in the list of instances may vanish and
-	// come back meanwhile.
-	kept = 10 * time.Minute
-	// most bounds how many are.
-	most = 4096
+	// retention is how long an incarnation is remembered. It is far longer than a leaving instance
+	// keeps running, because the instance's list entry may vanish and come back in the meantime.
+	retention = 10 * time.Minute
+	// maxRecords limits the number of remembered incarnations.
+	maxRecords = 4096
 )
 
-// Registry is the starts that are known to leave; it is safe for use by several goroutines.
+// Registry holds the incarnations known to be leaving. It is safe for concurrent use.
 type Registry struct {
 	clock clockwork.Clock
 	log   hclog.Logger
 
-	mu  sync.Mutex
-	by  map[core.Start]said
-	seq int64
-	// changed is closed when another start leaves.
+	mu      sync.Mutex
+	records map[core.Start]record
+	seq     int64
+	// changed is closed and replaced when an incarnation is added.
 	changed chan struct{}
 }
 
-// said is when it became known that a start leaves, and its place among the news.
-type said struct {
+// record holds when an incarnation became known as leaving, and its sequence number.
+type record struct {
 	at  time.Time
 	seq int64
 }
 
-// New returns a registry in which nothing leaves.
+// New returns an empty registry.
 func New(clock clockwork.Clock, log hclog.Logger) *Registry {
 	return &Registry{
 		clock:   clock,
 		log:     log,
-		by:      make(map[core.Start]said),
+		records: make(map[core.Start]record),
 		changed: make(chan struct{}),
 	}
 }
 
-// Note takes that an instance has said that it leaves, in the answer to the request with that id.
-func (g *Registry) Note(start core.Start, id string) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.learn(start) {
-		g.log.Info("instance says that it leaves", "instance", start.ID, "born", start.StartedAt, "id", id)
+// Record adds an instance that announced that it leaves in the answer to the request with the given
+// ID.
+func (r *Registry) Record(start core.Start, id string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if r.add(start) {
+		r.log.Info("instance says that it leaves", "instance", start.ID, "born", start.StartedAt, "id", id)
 	}
 }
 
-// Merge takes what another entry knows.
-func (g *Registry) Merge(starts []core.Start) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// Merge adds the incarnations that another entry knows.
+func (r *Registry) Merge(starts []core.Start) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for _, start := range starts {
-		if g.learn(start) {
-			g.log.Info("instance has told another entry that it leaves", "instance", start.ID, "born", start.StartedAt)
+		if r.add(start) {
+			r.log.Info("instance leaves, as reported by another entry", "instance", start.ID, "born", start.StartedAt)
 		}
 	}
 }
 
-// learn returns true when it was not known yet that a start leaves.
-func (g *Registry) learn(start core.Start) bool {
-	if _, known := g.by[start]; known {
+// add adds an incarnation and reports whether it was unknown before.
+func (r *Registry) add(start core.Start) bool {
+	if _, known := r.records[start]; known {
 		return false
 	}
-	if len(g.by) >= most {
-		g.forgetOldest()
+	if len(r.records) >= maxRecords {
+		r.evictOldest()
 	}
-	g.seq++
-	g.by[start] = said{
-		at:  g.clock.Now(),
-		seq: g.seq,
+	r.seq++
+	r.records[start] = record{
+		at:  r.clock.Now(),
+		seq: r.seq,
 	}
-	close(g.changed)
-	g.changed = make(chan struct{})
+	close(r.changed)
+	r.changed = make(chan struct{})
 	return true
 }
 
-// Leaves returns true for a start that must get no more requests.
-func (g *Registry) Leaves(start core.Start) bool {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	_, known := g.by[start]
+// IsLeaving reports whether an incarnation is leaving and must get no more requests.
+func (r *Registry) IsLeaving(start core.Start) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	_, known := r.records[start]
 	return known
 }
 
-// Since returns what was learned after a number that an earlier call returned, zero for everything, and the number to go on from.
-func (g *Registry) Since(after int64) ([]core.Start, int64) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
+// Since returns the incarnations with a sequence number above after, all if zero, and the sequence
+// number to pass to the next call.
+func (r *Registry) Since(after int64) ([]core.Start, int64) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []core.Start
-	for start, s := range g.by {
+	for start, s := range r.records {
 		if s.seq > after {
 			out = append(out, start)
 		}
 	}
-	return out, g.seq
+	return out, r.seq
 }
 
-// Changed returns a channel that is closed when another start leaves.
-func (g *Registry) Changed() <-chan struct{} {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.changed
+// Changed returns a channel that is closed when the next incarnation is added.
+func (r *Registry) Changed() <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.changed
 }
 
-// Sweep forgets what is known for long.
-func (g *Registry) Sweep() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	now := g.clock.Now()
-	for start, s := range g.by {
-		if now.Sub(s.at) > kept {
-			delete(g.by, start)
+// Sweep evicts records older than the retention.
+func (r *Registry) Sweep() {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	now := r.clock.Now()
+	for start, s := range r.records {
+		if now.Sub(s.at) > retention {
+			delete(r.records, start)
 		}
 	}
 }
 
-func (g *Registry) forgetOldest() {
+func (r *Registry) evictOldest() {
 	var oldest core.Start
-	first := g.seq + 1
-	for start, s := range g.by {
-		if s.seq < first {
-			oldest, first = start, s.seq
+	lowest := r.seq + 1
+	for start, s := range r.records {
+		if s.seq < lowest {
+			oldest, lowest = start, s.seq
 		}
 	}
-	delete(g.by, oldest)
+	delete(r.records, oldest)
 }
--- a/peer/asker.go
+++ b/peer/asker.go
@@ -79,7 +79,7 @@
 		if address := p.pickPeer(); address != "" {
 			p.poll(ctx, address)
 		}
-		retry.Pause(ctx, repickDelay)
+		retry.Sleep(ctx, repickDelay)
 	}
 }
 
--- a/peer/leaving_test.go
+++ b/peer/leaving_test.go
@@ -13,6 +13,6 @@
 	a, b, c := newNode(t, "a"), newNode(t, "b"), newNode(t, "c")
 	b.polls(t, "b", a)
 	c.polls(t, "c", b)
-	a.leaving.Note(start, "a-1")
-	await(t, "c to learn that the instance is leaving", func() bool { return c.leaving.Leaves(start) })
+	a.leaving.Record(start, "a-1")
+	await(t, "c to learn that the instance is leaving", func() bool { return c.leaving.IsLeaving(start) })
 }
--- a/pool/conn.go
+++ b/pool/conn.go
@@ -11,7 +11,7 @@
 type Conn struct {
 	net.Conn
 	Reader *bufio.Reader
-	// Reused is true when the connection has carried a request before.
+	// Reused reports whether the connection has carried a request before.
 	Reused bool
 	// Opened is when the connection was opened.
 	Opened time.Time
@@ -21,8 +21,8 @@
 	pool    *Pool
 }
 
-// quiet returns true when nothing has arrived on an idle connection, neither bytes that nobody asked for nor its end.
-func (c *Conn) quiet() bool {
+// isReusable reports whether an idle connection is still open and has received no unsolicited data.
+func (c *Conn) isReusable() bool {
 	if c.Reader.Buffered() > 0 {
 		return false
 	}
@@ -34,33 +34,34 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	empty := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, readErr := syscall.Read(int(fd), b[:])
-		quiet = readErr == syscall.EAGAIN
+		empty = readErr == syscall.EAGAIN
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && empty
 }
 
-// Discard closes the connection.
+// Discard closes the connection, which then no longer counts towards the limit of its target.
 func (c *Conn) Discard() {
 	_ = c.Close()
-	c.pool.closed(c.target)
+	c.pool.releaseSlot(c.target)
 }
 
-// Abort closes the connection with a reset, so that what it still carries is dropped: a request whose caller has left must not reach
-// an instance that comes back to life later.
+// Abort closes the connection with a reset, which drops unsent data. Otherwise a frozen instance
+// could still receive the request of a caller that has disconnected once it resumes.
 func (c *Conn) Abort() {
 	if t, ok := c.Conn.(*net.TCPConn); ok {
-		// It fails only on a connection that is closed already.
+		// SetLinger fails only on a closed connection.
 		_ = t.SetLinger(0)
 	}
 	_ = c.Close()
 }
 
-// Keep gives the connection back for the next request; idle is how long the instance keeps it open, zero when it didn't say.
-func (c *Conn) Keep(idle time.Duration) {
-	c.pool.put(c, idle)
+// Release returns the connection to the pool; idle is how long the instance keeps it open, zero if
+// unknown.
+func (c *Conn) Release(idle time.Duration) {
+	c.pool.putIdle(c, idle)
 }
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -14,36 +14,39 @@
 )
 
 const (
-	// dialTimeout bounds the opening of a connection; an instance that is up accepts within two delays between zones and a handshake of some ms.
+	// dialTimeout limits opening a connection. A running instance accepts within two delays between
+	// zones and a handshake of a few milliseconds.
 	dialTimeout = 300 * time.Millisecond
-	// keepAliveIdle, keepAliveEvery and keepAliveProbes find a silent peer within three seconds.
-	keepAliveIdle   = 1500 * time.Millisecond
-	keepAliveEvery  = 500 * time.Millisecond
-	keepAliveProbes = 3
-	// readBuffer holds a usual answer or several events of a stream, in bytes.
-	readBuffer = 4 << 10
-	// idleMargin is given up of the time for which an instance keeps a connection, so that a request doesn't cross its end.
+	// keepAliveIdle, keepAliveInterval and keepAliveProbes detect a silent peer within three
+	// seconds.
+	keepAliveIdle     = 1500 * time.Millisecond
+	keepAliveInterval = 500 * time.Millisecond
+	keepAliveProbes   = 3
+	// readBufferBytes is large enough for a typical answer or several events of a stream.
+	readBufferBytes = 4 << 10
+	// idleMargin is subtracted from the time an instance keeps a connection open, so that no
+	// request is sent while the instance closes it.
 	idleMargin = 700 * time.Millisecond
-	// unbounded is the limit of connections that are opened whatever their number.
+	// unbounded disables the limit of open connections.
 	unbounded = math.MaxInt
-	// idleMost is how long a connection is kept whose instance names no time.
-	idleMost = 60 * time.Second
+	// maxIdleTime is how long an idle connection is kept, also if its instance states no time.
+	maxIdleTime = 60 * time.Second
 )
 
-var dialled = expvar.NewInt("upstream_connections_opened")
+var connectionsOpened = expvar.NewInt("upstream_connections_opened")
 
-// FullError says that no further connection to an instance may be opened.
+// FullError reports that the limit of connections to an instance is reached.
 type FullError struct {
 	Address string
 	Limit   int
 }
 
-// Error names the address and the limit.
+// Error returns a message with the address and the limit.
 func (e *FullError) Error() string {
-	return fmt.Sprintf("%s has its %d connections", e.Address, e.Limit)
+	return fmt.Sprintf("%s reached its limit of %d connections", e.Address, e.Limit)
 }
 
-// Pool is safe for use by several goroutines.
+// Pool holds the connections to all instances. It is safe for concurrent use.
 type Pool struct {
 	clock  clockwork.Clock
 	dialer net.Dialer
@@ -62,7 +65,7 @@
 			KeepAliveConfig: net.KeepAliveConfig{
 				Enable:   true,
 				Idle:     keepAliveIdle,
-				Interval: keepAliveEvery,
+				Interval: keepAliveInterval,
 				Count:    keepAliveProbes,
 			},
 		},
@@ -71,19 +74,20 @@
 	}
 }
 
-// Get returns an idle connection or opens one; limit bounds the open connections to the target and a *FullError says that it is reached.
+// Get returns an idle connection to the target or opens one. It returns a *FullError if limit
+// connections to the target are open already.
 func (p *Pool) Get(ctx context.Context, t Target, limit int) (*Conn, error) {
 	for {
-		c := p.take(t)
+		c := p.popIdle(t)
 		if c == nil {
 			break
 		}
-		if p.clock.Now().Before(c.expires) && c.quiet() {
+		if p.clock.Now().Before(c.expires) && c.isReusable() {
 			return c, nil
 		}
 		c.Discard()
 	}
-	if !p.reserve(t, limit) {
+	if !p.reserveSlot(t, limit) {
 		return nil, &FullError{
 			Address: t.Address,
 			Limit:   limit,
@@ -91,47 +95,47 @@
 	}
 	nc, err := p.dialer.DialContext(ctx, "tcp4", t.Address)
 	if err != nil {
-		p.closed(t)
+		p.releaseSlot(t)
 		return nil, err
 	}
-	dialled.Add(1)
+	connectionsOpened.Add(1)
 	return p.newConn(nc, t), nil
 }
 
 func (p *Pool) newConn(nc net.Conn, t Target) *Conn {
 	return &Conn{
 		Conn:   nc,
-		Reader: bufio.NewReaderSize(nc, readBuffer),
+		Reader: bufio.NewReaderSize(nc, readBufferBytes),
 		Opened: p.clock.Now(),
 		target: t,
 		pool:   p,
 	}
 }
 
-// Idle returns how many connections to the target wait for a request.
-func (p *Pool) Idle(t Target) int {
+// IdleCount returns the number of idle connections to the target.
+func (p *Pool) IdleCount(t Target) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[t])
 }
 
-// Forget closes the idle connections to targets that keep returns false for.
-func (p *Pool) Forget(keep func(t Target) bool) {
+// Prune closes the idle connections to targets for which keep returns false.
+func (p *Pool) Prune(keep func(t Target) bool) {
 	p.mu.Lock()
-	var drop []*Conn
+	var pruned []*Conn
 	for t, list := range p.idle {
 		if !keep(t) {
-			drop = append(drop, list...)
+			pruned = append(pruned, list...)
 			delete(p.idle, t)
 		}
 	}
 	p.mu.Unlock()
-	for _, c := range drop {
+	for _, c := range pruned {
 		c.Discard()
 	}
 }
 
-func (p *Pool) take(t Target) *Conn {
+func (p *Pool) popIdle(t Target) *Conn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	list := p.idle[t]
@@ -143,7 +147,7 @@
 	return c
 }
 
-func (p *Pool) reserve(t Target, limit int) bool {
+func (p *Pool) reserveSlot(t Target, limit int) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.open[t] >= limit {
@@ -153,7 +157,7 @@
 	return true
 }
 
-func (p *Pool) closed(t Target) {
+func (p *Pool) releaseSlot(t Target) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.open[t]--
@@ -162,9 +166,9 @@
 	}
 }
 
-func (p *Pool) put(c *Conn, idle time.Duration) {
-	if idle <= 0 || idle > idleMost {
-		idle = idleMost
+func (p *Pool) putIdle(c *Conn, idle time.Duration) {
+	if idle <= 0 || idle > maxIdleTime {
+		idle = maxIdleTime
 	}
 	c.Reused = true
 	c.expires = p.clock.Now().Add(idle - idleMargin)
--- a/pool/pool_test.go
+++ b/pool/pool_test.go
@@ -12,8 +12,8 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// peer accepts one connection after the other and hands them to the test.
-func peer(t *testing.T) (string, <-chan net.Conn) {
+// startPeer listens on a local port and passes accepted connections to the test.
+func startPeer(t *testing.T) (string, <-chan net.Conn) {
 	t.Helper()
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -33,7 +33,7 @@
 	return ln.Addr().String(), conns
 }
 
-func get(t *testing.T, p *Pool, address string) *Conn {
+func mustGet(t *testing.T, p *Pool, address string) *Conn {
 	t.Helper()
 	c, err := p.Get(context.Background(), Target{Address: address}, 2)
 	if err != nil {
@@ -42,15 +42,16 @@
 	return c
 }
 
-// TestAbortResets keeps a request of a caller who left from reaching an upstream that was frozen meanwhile.
+// TestAbortResets guards against delivering the request of a caller that disconnected to an
+// upstream that was frozen in the meantime.
 func TestAbortResets(t *testing.T) {
-	address, conns := peer(t)
-	c := get(t, New(clockwork.NewRealClock()), address)
+	address, conns := startPeer(t)
+	c := mustGet(t, New(clockwork.NewRealClock()), address)
 	other := <-conns
 	c.Abort()
 	c.Discard()
 	if _, err := io.ReadAll(other); !errors.Is(err, syscall.ECONNRESET) {
-		t.Errorf("the upstream sees %v, want a reset", err)
+		t.Errorf("upstream got %v, want a connection reset", err)
 	}
 }
 
@@ -58,51 +59,52 @@
 	clock := clockwork.NewFakeClock()
 	tests := []struct {
 		name   string
-		meddle func(t *testing.T, other net.Conn)
+		act    func(t *testing.T, other net.Conn)
 		reused bool
 	}{
 		{
 			name:   "quiet",
-			meddle: func(*testing.T, net.Conn) {},
+			act:    func(*testing.T, net.Conn) {},
 			reused: true,
 		},
 		{
-			name:   "expired",
-			meddle: func(*testing.T, net.Conn) { clock.Advance(5 * time.Second) },
+			name: "expired",
+			act:  func(*testing.T, net.Conn) { clock.Advance(5 * time.Second) },
 		},
 		{
 			name: "bytes that nobody asked for",
-			meddle: func(t *testing.T, other net.Conn) {
+			act: func(t *testing.T, other net.Conn) {
 				if _, err := other.Write([]byte("HTTP/1.1 200 OK\r\n\r\n")); err != nil {
 					t.Fatal(err)
 				}
 			},
 		},
 		{
-			name:   "closed by the upstream",
-			meddle: func(_ *testing.T, other net.Conn) { _ = other.Close() },
+			name: "closed by the upstream",
+			act:  func(_ *testing.T, other net.Conn) { _ = other.Close() },
 		},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			address, conns := peer(t)
+			address, conns := startPeer(t)
 			p := New(clock)
-			c := get(t, p, address)
+			c := mustGet(t, p, address)
 			other := <-conns
-			c.Keep(5 * time.Second)
-			tt.meddle(t, other)
+			c.Release(5 * time.Second)
+			tt.act(t, other)
 			if !tt.reused {
-				// What the other end did shows as something to read, except where only time has passed.
+				// Data or a close by the peer becomes readable; in the expired case only time has
+				// passed.
 				awaitReadable(t, c, tt.name == "expired")
 			}
-			if got := get(t, p, address).Reused; got != tt.reused {
+			if got := mustGet(t, p, address).Reused; got != tt.reused {
 				t.Errorf("reused: %v, want %v", got, tt.reused)
 			}
 		})
 	}
 }
 
-// awaitReadable waits until an idle connection is no longer quiet.
+// awaitReadable waits until data or a close arrives on an idle connection.
 func awaitReadable(t *testing.T, c *Conn, expired bool) {
 	t.Helper()
 	if expired {
@@ -114,14 +116,14 @@
 }
 
 func TestLimitOfOpenConnections(t *testing.T) {
-	address, _ := peer(t)
+	address, _ := startPeer(t)
 	p := New(clockwork.NewRealClock())
-	first := get(t, p, address)
-	get(t, p, address)
+	first := mustGet(t, p, address)
+	mustGet(t, p, address)
 	var full *FullError
 	if _, err := p.Get(context.Background(), Target{Address: address}, 2); !errors.As(err, &full) {
 		t.Fatalf("a third connection: %v, want a *FullError", err)
 	}
 	first.Discard()
-	get(t, p, address)
+	mustGet(t, p, address)
 }
--- a/pool/probe_test.go
+++ b/pool/probe_test.go
@@ -9,7 +9,7 @@
 	"github.com/jonboulle/clockwork"
 )
 
-func TestRefusesTellsAnEndedProcess(t *testing.T) {
+func TestRefusesDetectsEndedProcess(t *testing.T) {
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -19,20 +19,20 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 5*time.Second)
 	defer cancel()
 	if p.Refuses(ctx, target) || !p.Accepts(ctx, target) {
-		t.Error("one that listens is taken for ended")
+		t.Error("listening instance is reported as ended")
 	}
-	if p.Idle(target) != 2 {
-		t.Errorf("%d connections kept, want those that were opened to find out", p.Idle(target))
+	if p.IdleCount(target) != 2 {
+		t.Errorf("%d idle connections, want the 2 opened by the checks", p.IdleCount(target))
 	}
 	_ = ln.Close()
 	if !p.Refuses(ctx, target) || p.Accepts(ctx, target) {
-		t.Error("one that has ended is taken for listening")
+		t.Error("ended instance is reported as listening")
 	}
-	// Silence, as of a partition, is no refusal.
-	over, cancelNow := context.WithCancel(context.Background())
+	// A timeout, as during a partition, is not a refusal.
+	expired, cancelNow := context.WithCancel(context.Background())
 	cancelNow()
-	if p.Refuses(over, target) {
-		t.Error("one that was not reached in time is taken for ended")
+	if p.Refuses(expired, target) {
+		t.Error("unreachable instance is reported as ended")
 	}
 	if p.open[target] != 2 {
 		t.Errorf("%d connections counted as open, want 2", p.open[target])
--- a/retry/after.go
+++ b/retry/after.go
@@ -5,10 +5,11 @@
 	"time"
 )
 
-const minAfter = time.Second
+const minDelay = time.Second
 
-// After spreads the time at which refused callers come back over as long as the backlog takes to drain, so that they don't return as one.
+// After returns a jittered delay for a rejected caller. The delay is between once and twice the
+// drain time of the backlog, so that callers don't all return at the same time.
 func After(drain time.Duration, random *rand.Rand) time.Duration {
-	base := max(drain, minAfter)
+	base := max(drain, minDelay)
 	return base + time.Duration(random.Int64N(int64(base)))
 }
--- a/retry/back.go
+++ b/retry/back.go
@@ -3,37 +3,43 @@
 import "time"
 
 const (
-	// minBackoff is the soonest that a refused caller is told to return.
+	// minBackoff is the shortest backoff of a rejected caller.
 	minBackoff = 50 * time.Millisecond
-	// outageBackoffFraction is the part of its time after which a caller returns to a service that can't serve: callers heed up to a third.
+	// outageBackoffFraction is the fraction of its remaining time that a caller backs off during an
+	// outage: callers honor a Retry-After of up to a third of their time.
 	outageBackoffFraction = 0.33
-	// maxOutageBackoff bounds it, so that a caller with much time is back soon after a short outage.
+	// maxOutageBackoff caps the backoff during an outage, so that a caller with much time left
+	// returns soon after a short outage.
 	maxOutageBackoff = 4 * time.Second
-	// jitterParts says how far returns are spread: over a sixth of the wait.
-	jitterParts = 6
+	// jitterDivisor sets the jitter to one sixth of the backoff.
+	jitterDivisor = 6
 )
 
-// Refusal is what the return of a refused caller depends on.
-type Refusal struct {
-	// Aim is the time within which its class is to begin, Left what remains of the caller's time.
-	Aim  time.Duration
-	Left time.Duration
-	// Room is when the first instance may be sent to, where all are known to take nothing until then; zero otherwise.
-	Room time.Duration
-	// Unavailable is true while the service can't serve anybody.
+// Rejection describes a rejected request for computing its backoff.
+type Rejection struct {
+	// TargetLatency is the time within which requests of the class should begin. Remaining is what
+	// is left of the caller's time.
+	TargetLatency time.Duration
+	Remaining     time.Duration
+	// AvailableIn is the time until the first instance accepts requests if all are known to accept
+	// none before, zero otherwise.
+	AvailableIn time.Duration
+	// Unavailable reports whether the service can't serve any request.
 	Unavailable bool
 }
 
-// Backoff returns when a refused caller should come back: to a busy service after about half of its target, to instances that take nothing
-// until a moment soon after it, to a service that can't serve at all as late as callers heed. Both are spread by draw, which returns a random number below its argument, so that callers don't return as one.
-func Backoff(r Refusal, draw func(n int) int) time.Duration {
-	base := max(r.Aim/2, minBackoff)
-	if r.Room > base {
-		return r.Room + time.Duration(draw(int(max(base, r.Room/jitterParts))))
+// Backoff returns how long a rejected caller should wait before it retries: about half the target
+// latency for a busy service, slightly more than AvailableIn if all instances are blocked, and as
+// long as callers honor during an outage. The result is jittered with randomIntN, which returns a
+// random number below its argument, so that callers don't all return at the same time.
+func Backoff(r Rejection, randomIntN func(n int) int) time.Duration {
+	base := max(r.TargetLatency/2, minBackoff)
+	if r.AvailableIn > base {
+		return r.AvailableIn + time.Duration(randomIntN(int(max(base, r.AvailableIn/jitterDivisor))))
 	}
 	if r.Unavailable {
-		base = max(base, min(time.Duration(outageBackoffFraction*float64(r.Left)), maxOutageBackoff))
-		return base - time.Duration(draw(int(base/jitterParts)+1))
+		base = max(base, min(time.Duration(outageBackoffFraction*float64(r.Remaining)), maxOutageBackoff))
+		return base - time.Duration(randomIntN(int(base/jitterDivisor)+1))
 	}
-	return base + time.Duration(draw(int(base)))
+	return base + time.Duration(randomIntN(int(base)))
 }
--- a/retry/budget.go
+++ b/retry/budget.go
@@ -3,46 +3,48 @@
 import "sync"
 
 const (
-	// share is how many repeats each first try earns.
-	share = 0.2
-	// reserve is what a class may spend before it has earned anything.
-	reserve = 20
+	// retriesPerRequest is the number of retries that each first try earns.
+	retriesPerRequest = 0.2
+	// initialRetries is the number of retries of a class that has earned none yet, and the maximum
+	// it can accumulate.
+	initialRetries = 20
 )
 
-// Budget allows repeats in proportion to first tries, for each class by itself.
+// Budget is a retry budget: it allows retries in proportion to first tries, separately for each
+// class.
 type Budget struct {
-	mu      sync.Mutex
-	classes map[string]float64
+	mu     sync.Mutex
+	tokens map[string]float64
 }
 
-// NewBudget returns a budget in which each class has its reserve.
+// NewBudget returns a budget in which each class has its initial retries.
 func NewBudget() *Budget {
-	return &Budget{classes: make(map[string]float64)}
+	return &Budget{tokens: make(map[string]float64)}
 }
 
-// Earn notes a first try.
+// Earn records a first try.
 func (b *Budget) Earn(class string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.classes[class] = min(b.left(class)+share, reserve)
+	b.tokens[class] = min(b.remaining(class)+retriesPerRequest, initialRetries)
 }
 
-// Spend takes one repeat and returns false when the class has none left.
+// Spend takes one retry and reports whether the class had one left.
 func (b *Budget) Spend(class string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	left := b.left(class)
+	left := b.remaining(class)
 	if left < 1 {
 		return false
 	}
-	b.classes[class] = left - 1
+	b.tokens[class] = left - 1
 	return true
 }
 
-func (b *Budget) left(class string) float64 {
-	left, ok := b.classes[class]
+func (b *Budget) remaining(class string) float64 {
+	left, ok := b.tokens[class]
 	if !ok {
-		return reserve
+		return initialRetries
 	}
 	return left
 }
--- a/retry/doc.go
+++ b/retry/doc.go
@@ -1,2 +1,2 @@
-// Package retry bounds repeats, so that a failure does not multiply the load.
+// Package retry limits retries, so that a failure does not multiply the load.
 package retry
--- a/retry/pause.go
+++ b/retry/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Pause waits for d, or until ctx ends.
-func Pause(ctx context.Context, d time.Duration) {
+// Sleep waits until d has elapsed or ctx is done.
+func Sleep(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
--- a/retry/retry_test.go
+++ b/retry/retry_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-func TestBudgetFollowsFirstTries(t *testing.T) {
+func TestBudgetScalesWithRequests(t *testing.T) {
 	b := NewBudget()
 	spent := 0
 	for b.Spend("lookup") {
 		spent++
 	}
-	if spent != reserve {
-		t.Errorf("spent %d from the reserve of %d", spent, reserve)
+	if spent != initialRetries {
+		t.Errorf("spent %d of %d initial retries", spent, initialRetries)
 	}
 	for range 50 {
 		b.Earn("lookup")
@@ -23,25 +23,25 @@
 		continue
 	}
 	if spent < 9 || spent > 10 {
-		t.Errorf("50 first tries earned %d repeats, want a fifth", spent)
+		t.Errorf("50 first tries earned %d retries, want a fifth", spent)
 	}
 	if !b.Spend("summary") {
-		t.Error("one class used up another's budget")
+		t.Error("retries of one class were taken from another's budget")
 	}
 }
 
-func TestAfterIsSpread(t *testing.T) {
+func TestAfterIsJittered(t *testing.T) {
 	random := rand.New(rand.NewPCG(1, 2))
 	seen := make(map[time.Duration]bool)
 	for range 100 {
 		d := After(4*time.Second, random)
 		if d < 4*time.Second || d >= 8*time.Second {
-			t.Fatalf("told to come back after %s of a backlog of 4s", d)
+			t.Fatalf("delay of %s for a backlog of 4s, want 4s to 8s", d)
 		}
 		seen[d] = true
 	}
 	if len(seen) < 90 {
-		t.Errorf("100 callers come back at only %d moments", len(seen))
+		t.Errorf("100 callers got only %d different delays", len(seen))
 	}
 }
 
--- a/retry/window.go
+++ b/retry/window.go
@@ -6,96 +6,101 @@
 )
 
 const (
-	// slotTime divides the sliding window; one slot more than the window is counted, so that no span of its length sees more.
-	slotTime = 500 * time.Millisecond
-	// caution is the part of the allowance that is used, for requests that other entries count in another slot.
-	caution = 0.9
+	// slotDuration is the resolution of the sliding window. One slot more than the window is
+	// counted, so that no span of the window's length exceeds the allowance.
+	slotDuration = 500 * time.Millisecond
+	// usableFraction is the part of the allowance that is spent. The rest covers requests that
+	// other entries count in a different slot.
+	usableFraction = 0.9
 )
 
-// Allowance is what all entries together may send again to one service within a window.
+// Allowance is the retry budget of one service per window, shared by all entries.
 type Allowance struct {
-	// Ratio is how many repeats each request earns.
+	// Ratio is the number of retries that each request earns.
 	Ratio float64
-	// Slack is allowed beside what is earned.
+	// Slack is the number of retries allowed in addition to those earned.
 	Slack  float64
 	Window time.Duration
 }
 
-// Window bounds repeats by service over a sliding window; each entry spends its own part without asking the others.
-type Window struct {
-	allow Allowance
-	// since is when this entry began to count: what a life of it before that spent is not known, so that its slack waits for one window.
-	since time.Time
+// WindowBudget limits the retries of each service over a sliding window. Each entry spends its own
+// share without coordination.
+type WindowBudget struct {
+	allowance Allowance
+	// startedAt is when this entry began to count. The retries of an earlier process of the entry
+	// are unknown, so it gets no slack in its first window.
+	startedAt time.Time
 
 	mu       sync.Mutex
-	services map[string]*counted
+	services map[string]*serviceCounts
 }
 
-type counted struct {
-	slots []slotCount
+type serviceCounts struct {
+	slots []windowSlot
 }
 
-type slotCount struct {
-	at       int64
+type windowSlot struct {
+	index    int64
 	requests int
-	repeats  int
+	retries  int
 }
 
-// NewWindow returns the window of an entry that begins to count now.
-func NewWindow(a Allowance, now time.Time) *Window {
-	return &Window{
-		allow:    a,
-		since:    now,
-		services: make(map[string]*counted),
+// NewWindowBudget returns the budget of an entry that begins to count at now.
+func NewWindowBudget(a Allowance, now time.Time) *WindowBudget {
+	return &WindowBudget{
+		allowance: a,
+		startedAt: now,
+		services:  make(map[string]*serviceCounts),
 	}
 }
 
-// Request counts a caller's request to a service.
-func (w *Window) Request(now time.Time, service string) {
+// RecordRequest counts a caller's request to a service.
+func (w *WindowBudget) RecordRequest(now time.Time, service string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.slot(now, service).requests++
 }
 
-// Repeat takes one repeat to a service and returns false when this entry's part, one of entries, is spent.
-func (w *Window) Repeat(now time.Time, service string, entries int) bool {
+// TryRetry takes one retry to a service and reports whether this entry's share, one of entries,
+// allowed it.
+func (w *WindowBudget) TryRetry(now time.Time, service string, entries int) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	current := w.slot(now, service)
-	requests, repeats := 0, 0
-	oldest := now.UnixNano()/int64(slotTime) - int64(w.length()) + 1
+	requests, retries := 0, 0
+	oldest := now.UnixNano()/int64(slotDuration) - int64(w.slotCount()) + 1
 	for _, s := range w.services[service].slots {
-		if s.at >= oldest {
+		if s.index >= oldest {
 			requests += s.requests
-			repeats += s.repeats
+			retries += s.retries
 		}
 	}
-	slack := w.allow.Slack / float64(max(1, entries))
-	if now.Sub(w.since) < w.allow.Window {
+	slack := w.allowance.Slack / float64(max(1, entries))
+	if now.Sub(w.startedAt) < w.allowance.Window {
 		slack = 0
 	}
-	allowed := caution * (w.allow.Ratio*float64(requests) + slack)
-	if float64(repeats+1) > allowed {
+	allowed := usableFraction * (w.allowance.Ratio*float64(requests) + slack)
+	if float64(retries+1) > allowed {
 		return false
 	}
-	current.repeats++
+	current.retries++
 	return true
 }
 
-func (w *Window) length() int {
-	return int(w.allow.Window/slotTime) + 1
+func (w *WindowBudget) slotCount() int {
+	return int(w.allowance.Window/slotDuration) + 1
 }
 
-func (w *Window) slot(now time.Time, service string) *slotCount {
+func (w *WindowBudget) slot(now time.Time, service string) *windowSlot {
 	c := w.services[service]
 	if c == nil {
-		c = &counted{slots: make([]slotCount, w.length())}
+		c = &serviceCounts{slots: make([]windowSlot, w.slotCount())}
 		w.services[service] = c
 	}
-	at := now.UnixNano() / int64(slotTime)
-	s := &c.slots[at%int64(len(c.slots))]
-	if s.at != at {
-		*s = slotCount{at: at}
+	index := now.UnixNano() / int64(slotDuration)
+	s := &c.slots[index%int64(len(c.slots))]
+	if s.index != index {
+		*s = windowSlot{index: index}
 	}
 	return s
 }
--- a/start/gateway.go
+++ b/start/gateway.go
@@ -128,7 +128,7 @@
 			},
 			Started: clock.Now(),
 			Key:     []byte(cfg.LinkKey),
-			Ends:    ends,
+			Crashes: ends,
 			Quotas:  quotas,
 			Leaving: leaving,
 		}, clock, log.Named("gate"), keeper, platform.Dialect{}, counts),
@@ -273,7 +273,7 @@
 	started := g.clock.Now()
 	g.log.Info("stop", "in_flight", g.gate.InFlight())
 	close(g.stopping)
-	g.gate.Leave()
+	g.gate.Drain()
 	g.clock.Sleep(min(unlisted, g.cfg.Grace.Duration/4))
 	ctx, cancel := context.WithTimeout(context.Background(), g.cfg.Grace.Duration-g.clock.Since(started)-stopReserve)
 	defer cancel()
--- a/trial/groupcaller.go
+++ b/trial/groupcaller.go
@@ -162,10 +162,10 @@
 		return
 	}
 	c.again = true
-	w.after(retry.Backoff(retry.Refusal{
-		Aim:         groupAim,
-		Left:        callerTime - (w.now - c.asked),
-		Unavailable: within(w.scenario.Dark, w.now),
+	w.after(retry.Backoff(retry.Rejection{
+		TargetLatency: groupAim,
+		Remaining:     callerTime - (w.now - c.asked),
+		Unavailable:   within(w.scenario.Dark, w.now),
 	}, w.random.IntN), c.ask)
 }
 
--- a/view/follow.go
+++ b/view/follow.go
@@ -50,7 +50,7 @@
 			v.startExpiry()
 			wait.Reset()
 			full = false
-			retry.Pause(ctx, v.watchDelay())
+			retry.Sleep(ctx, v.watchDelay())
 			continue
 		}
 		var compacted *store.CompactedError
@@ -64,7 +64,7 @@
 		}
 		v.StoreDown()
 		v.log.Warn("reading from the store failed", "error", err)
-		retry.Pause(ctx, wait.NextBackOff())
+		retry.Sleep(ctx, wait.NextBackOff())
 	}
 }
 
@@ -132,7 +132,7 @@
 		case <-changed:
 		}
 	}
-	retry.Pause(ctx, staleWatchTimeout)
+	retry.Sleep(ctx, staleWatchTimeout)
 	cancel(errWatchStale)
 }
 
