--- a/oper/ends_test.go
+++ b/oper/ends_test.go
@@ -61,7 +61,7 @@
 	}
 	later := crash.New(clock, log)
 	source := platform.NewSource(platform.NewStore(address), log)
-	source.Teach(later)
+	source.MergeEndsInto(later)
 	if _, err := source.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
--- a/start/gateway.go
+++ b/start/gateway.go
@@ -102,7 +102,7 @@
 	leaving := leave.New(clock, log.Named("leave"))
 	quotas := quota.New(cfg.ID, clock, log.Named("quota"))
 	source := platform.NewSource(st, log.Named("store"))
-	source.Teach(ends)
+	source.MergeEndsInto(ends)
 	g := &gateway{
 		cfg:     cfg,
 		log:     log,
@@ -255,7 +255,7 @@
 	t := g.clock.NewTicker(joinEvery)
 	defer t.Stop()
 	for {
-		err := g.source.Join(ctx, g.cfg.ID, g.cfg.Control)
+		err := g.source.Register(ctx, g.cfg.ID, g.cfg.Control)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
--- a/start/sidecar.go
+++ b/start/sidecar.go
@@ -59,7 +59,7 @@
 		Clock:   clock,
 		Log:     log.Named("group"),
 		Service: cfg.Service,
-		Prefix:  platform.LeadPrefix,
+		Prefix:  platform.LeaderPrefix,
 		Port:    port,
 		Budget:  mapBudget,
 
