--- a/agent/leave.go
+++ b/agent/leave.go
@@ -50,7 +50,7 @@
 	a.sched.Lock()
 	running := a.running
 	a.sched.Unlock()
-	check.Hold(check.GracefulStop, running == 0, "%d attempts run at the end of a stop", running)
+	check.Assert(check.GracefulStop, running == 0, "%d attempts run at the end of a stop", running)
 	end := a.clock.Now().Add(finishTime)
 	for a.clock.Now().Before(end) && a.unread() {
 		a.clock.Sleep(tickEvery / 10)
--- a/agent/schedule.go
+++ b/agent/schedule.go
@@ -24,7 +24,7 @@
 		}
 		if at := a.leftAt.Load(); at != 0 {
 			since := a.clock.Now().Sub(time.Unix(0, at))
-			check.Hold(check.LeavingIdle, since < leaveGrace, "attempt %s starts %s after leaving", r.key, since)
+			check.Assert(check.LeavingGetsNoWork, since < leaveGrace, "attempt %s starts %s after leaving", r.key, since)
 		}
 		a.inFlight.Add(1)
 		go a.execute(r)
--- a/agent/work.go
+++ b/agent/work.go
@@ -126,7 +126,7 @@
 func (a *Agent) refuse(key ledger.Key, claimKey string, outcome core.Outcome, reason core.Reason, retryAfter time.Duration) {
 	if outcome == core.OutcomeNotRun {
 		st, ok := a.ledger.State(key)
-		check.Hold(check.NotRunTrue, !ok || st != ledger.StateRunning && st != ledger.StateDone, "attempt %s is refused as not run in state %d", key, st)
+		check.Assert(check.NotRunNeverRan, !ok || st != ledger.StateRunning && st != ledger.StateDone, "attempt %s is refused as not run in state %d", key, st)
 	}
 	a.sessions.send(key.Session, &proto.Frame{Refused: &proto.Refused{
 		N:           key.N,
--- a/answer/answer_test.go
+++ b/answer/answer_test.go
@@ -10,8 +10,9 @@
 	"geraniumpass/proto"
 )
 
-// TestAnyOrderGivesTheWholeAnswer loses, repeats and reorders parts, and asks for what is missing until all is there.
-func TestAnyOrderGivesTheWholeAnswer(t *testing.T) {
+// TestAssemblerCompletesAnswerInAnyOrder guards against missing, repeated or misplaced data when
+// parts are lost, duplicated and reordered in transit and requested again.
+func TestAssemblerCompletesAnswerInAnyOrder(t *testing.T) {
 	check.SetFatal(true)
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 60).Draw(t, "parts")
@@ -21,13 +22,13 @@
 		}
 		var a Assembler
 		var got []byte
-		for round := 0; !a.Whole(); round++ {
+		for round := 0; !a.Complete(); round++ {
 			parts, ok := b.From(a.Next())
 			if !ok {
-				t.Fatal("parts that were not acknowledged are gone")
+				t.Fatal("unacknowledged parts were discarded")
 			}
 			order := rapid.Permutation(append([]*proto.Answer{}, parts...)).Draw(t, "order")
-			// At least one part arrives in each round, and any may be lost or come twice.
+			// At least one part arrives in each round; any other may be lost or duplicated.
 			keep := rapid.IntRange(1, len(order)).Draw(t, "kept")
 			for _, p := range append(order[:keep:keep], order[0], parts[0]) {
 				for _, due := range a.Accept(p) {
@@ -38,11 +39,11 @@
 		}
 		for i, v := range got {
 			if int(v) != i {
-				t.Fatalf("part %d stands at %d", v, i)
+				t.Fatalf("part %d was delivered at index %d", v, i)
 			}
 		}
 		if len(got) != n || !b.Empty() || b.Bytes() != 0 {
-			t.Fatalf("%d of %d parts, %d bytes kept", len(got), n, b.Bytes())
+			t.Fatalf("got %d of %d parts, %d bytes still buffered", len(got), n, b.Bytes())
 		}
 	})
 }
@@ -58,6 +59,6 @@
 			fmt.Printf("%s", due.Data)
 		}
 	}
-	fmt.Println("", a.Whole())
+	fmt.Println("", a.Complete())
 	// Output: the whole answer true
 }
--- a/answer/assembler.go
+++ b/answer/assembler.go
@@ -5,55 +5,56 @@
 	"geraniumpass/proto"
 )
 
-// Assembler puts the parts of one attempt in order; it is not safe for use by several goroutines.
+// Assembler orders the parts of one attempt; it is not safe for concurrent use.
 type Assembler struct {
-	next    uint32
-	waiting map[uint32]*proto.Answer
-	ended   bool
+	next     uint32
+	pending  map[uint32]*proto.Answer
+	complete bool
 }
 
-// Accept takes a part in any order, any number of times, and returns the parts that are now due, in order.
+// Accept receives a part in any order, possibly repeated, and returns the parts that are now
+// deliverable in sequence.
 func (a *Assembler) Accept(p *proto.Answer) []*proto.Answer {
-	if a.ended || p.Seq < a.next {
+	if a.complete || p.Seq < a.next {
 		return nil
 	}
 	if p.Seq > a.next {
-		a.hold(p)
+		a.buffer(p)
 		return nil
 	}
 	due := []*proto.Answer{p}
 	a.advance(p)
-	for !a.ended {
-		q, ok := a.waiting[a.next]
+	for !a.complete {
+		q, ok := a.pending[a.next]
 		if !ok {
 			break
 		}
-		delete(a.waiting, a.next)
+		delete(a.pending, a.next)
 		due = append(due, q)
 		a.advance(q)
 	}
 	return due
 }
 
-// Next returns the number of the first part that is missing.
+// Next returns the sequence number of the first missing part.
 func (a *Assembler) Next() uint32 {
 	return a.next
 }
 
-// Whole returns true when every part up to the last has been handed out.
-func (a *Assembler) Whole() bool {
-	return a.ended
+// Complete reports whether every part including the last has been returned by Accept.
+func (a *Assembler) Complete() bool {
+	return a.complete
 }
 
-func (a *Assembler) hold(p *proto.Answer) {
-	if a.waiting == nil {
-		a.waiting = make(map[uint32]*proto.Answer)
+func (a *Assembler) buffer(p *proto.Answer) {
+	if a.pending == nil {
+		a.pending = make(map[uint32]*proto.Answer)
 	}
-	a.waiting[p.Seq] = p
+	a.pending[p.Seq] = p
 }
 
 func (a *Assembler) advance(p *proto.Answer) {
-	check.Hold(check.WholeAnswer, p.Seq == a.next && !a.ended, "part %d handed out where %d is due", p.Seq, a.next)
+	check.Assert(check.WholeAnswer, p.Seq == a.next && !a.complete, "delivered part %d, want part %d", p.Seq, a.next)
 	a.next++
-	a.ended = p.Last
+	a.complete = p.Last
 }
--- a/answer/buffer.go
+++ b/answer/buffer.go
@@ -2,21 +2,24 @@
 
 import "geraniumpass/proto"
 
-// Buffer keeps the parts of a running attempt until its reader has acknowledged them; it is not safe for use by several goroutines.
+// Buffer stores the parts of a running attempt until they are acknowledged; it is not safe for
+// concurrent use.
 type Buffer struct {
-	base  uint32
-	parts []*proto.Answer
-	bytes int
-	keep  bool
-	ended bool
+	base   uint32
+	parts  []*proto.Answer
+	bytes  int
+	retain bool
+	ended  bool
 }
 
-// NewBuffer returns an empty buffer; with keep it holds every part until dropped, for answers that may be asked for again.
+// NewBuffer returns an empty buffer; if keep is set it ignores acknowledgements, for answers that
+// may be requested again.
 func NewBuffer(keep bool) *Buffer {
-	return &Buffer{keep: keep}
+	return &Buffer{retain: keep}
 }
 
-// Append numbers a part, stores it and returns it; a part after the last is dropped and gives nil.
+// Append assigns the next sequence number to a part, stores it and returns it; it returns nil for a
+// part after the last.
 func (b *Buffer) Append(p *proto.Answer) *proto.Answer {
 	if b.ended {
 		return nil
@@ -28,9 +31,9 @@
 	return p
 }
 
-// Ack forgets the parts below next, unless the buffer keeps all.
+// Ack discards the parts below next, unless the buffer retains all parts.
 func (b *Buffer) Ack(next uint32) {
-	if b.keep {
+	if b.retain {
 		return
 	}
 	for b.base < next && len(b.parts) > 0 {
@@ -41,7 +44,7 @@
 	}
 }
 
-// From returns the parts from next on, and false when some of them are already forgotten.
+// From returns the parts starting at next, or false if some of them were discarded.
 func (b *Buffer) From(next uint32) ([]*proto.Answer, bool) {
 	if next < b.base {
 		return nil, false
@@ -53,17 +56,17 @@
 	return b.parts[i:], true
 }
 
-// Bytes returns the payload bytes held.
+// Bytes returns the payload size of the stored parts in bytes.
 func (b *Buffer) Bytes() int {
 	return b.bytes
 }
 
-// Ended returns true once the last part was appended.
+// Ended reports whether the last part has been appended.
 func (b *Buffer) Ended() bool {
 	return b.ended
 }
 
-// Empty returns true when nothing is held.
+// Empty reports whether the buffer holds no parts.
 func (b *Buffer) Empty() bool {
 	return len(b.parts) == 0
 }
--- a/answer/doc.go
+++ b/answer/doc.go
@@ -1,2 +1,2 @@
-// Package answer numbers, buffers, reorders and completes the parts of an answer.
+// Package answer numbers, buffers and reassembles the parts of an answer.
 package answer
--- a/answer/main_test.go
+++ b/answer/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the randomised tests unless one is given, so that every run says the same.
+// TestMain fixes the seed of the property tests unless one is given, to make runs reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/check/check.go
+++ b/check/check.go
@@ -7,30 +7,32 @@
 	"sync/atomic"
 )
 
-// FatalVariable names the environment variable that makes a violation end the process.
-const FatalVariable = "GERANIUMPASS_FATAL_INVARIANTS"
+// FatalEnvVar is the environment variable that, if set, makes an invariant violation panic.
+const FatalEnvVar = "GERANIUMPASS_FATAL_INVARIANTS"
 
 var (
-	violations = expvar.NewMap("invariant_violations")
-	checked    = expvar.NewMap("invariant_checks")
-	fatal      atomic.Bool
+	violations  = expvar.NewMap("invariant_violations")
+	evaluations = expvar.NewMap("invariant_checks")
+	fatal       atomic.Bool
 )
 
-// SetFatal makes every later violation panic.
+// SetFatal sets whether later violations panic.
 func SetFatal(on bool) {
 	fatal.Store(on)
 }
 
-// FromEnvironment applies FatalVariable and is called first in each program.
-func FromEnvironment() {
-	if os.Getenv(FatalVariable) != "" {
+// ConfigureFromEnvironment enables fatal mode if FatalEnvVar is set; programs call it before
+// anything else.
+func ConfigureFromEnvironment() {
+	if os.Getenv(FatalEnvVar) != "" {
 		SetFatal(true)
 	}
 }
 
-// Hold counts one evaluation of an invariant and, when ok is false, one violation, which panics with a *Violation in fatal mode.
-func Hold(name Name, ok bool, format string, args ...any) {
-	checked.Add(string(name), 1)
+// Assert counts an evaluation of an invariant and, if ok is false, a violation, which panics with a
+// *Violation in fatal mode.
+func Assert(name Name, ok bool, format string, args ...any) {
+	evaluations.Add(string(name), 1)
 	if ok {
 		return
 	}
@@ -45,7 +47,7 @@
 	}
 }
 
-// Violations returns how often the invariant was found broken in this process.
+// Violations returns the number of violations of the invariant in this process.
 func Violations(name Name) int64 {
 	n, ok := violations.Get(string(name)).(*expvar.Int)
 	if !ok {
--- a/check/doc.go
+++ b/check/doc.go
@@ -1,2 +1,3 @@
-// Package check asserts the program's invariants at run time, counts violations in expvar and stops the process where a test asks for that.
+// Package check evaluates invariants at run time, counts violations in expvar and, in fatal mode,
+// panics on them.
 package check
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -61,9 +61,9 @@
 	h.Offer(docs[2])
 	other := *docs[2]
 	other.Records = []Record{{ID: "another"}}
-	before := check.Violations(check.ConfigForward)
+	before := check.Violations(check.ConfigMonotonic)
 	h.Offer(&other)
-	if check.Violations(check.ConfigForward) != before+1 {
+	if check.Violations(check.ConfigMonotonic) != before+1 {
 		t.Error("two contents of one revision were not noticed")
 	}
 }
--- a/config/holder.go
+++ b/config/holder.go
@@ -46,7 +46,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if doc.Revision == h.doc.Revision {
-		check.Hold(check.ConfigForward, lastID(doc) == lastID(h.doc), "revision %d holds change %q and also %q", doc.Revision, lastID(h.doc), lastID(doc))
+		check.Assert(check.ConfigMonotonic, lastID(doc) == lastID(h.doc), "revision %d holds change %q and also %q", doc.Revision, lastID(h.doc), lastID(doc))
 	}
 	if doc.Revision <= h.doc.Revision {
 		return false
--- a/deploy/process.go
+++ b/deploy/process.go
@@ -38,7 +38,7 @@
 	p.cmd = exec.Command(p.binary, p.Role, "--config", p.file)
 	p.cmd.Stdout = log
 	p.cmd.Stderr = log
-	p.cmd.Env = append(os.Environ(), check.FatalVariable+"=1", "GOMAXPROCS=2")
+	p.cmd.Env = append(os.Environ(), check.FatalEnvVar+"=1", "GOMAXPROCS=2")
 	p.cmd.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.cmd.Start(); err != nil {
 		return errs.Wrap(err)
--- a/entry/attempt.go
+++ b/entry/attempt.go
@@ -7,10 +7,10 @@
 	"geraniumpass/proto"
 )
 
-// ackEvery is how many parts are taken before they are acknowledged.
+// ackEvery is the number of parts received between acknowledgements.
 const ackEvery = 32
 
-// attempt is one try of a request at one agent.
+// attempt is one dispatch of a request to one agent.
 type attempt struct {
 	n          uint64
 	peer       *peer
@@ -20,7 +20,7 @@
 
 	mu      sync.Mutex
 	asm     answer.Assembler
-	due     []*proto.Answer
+	ready   []*proto.Answer
 	refused *proto.Refused
 	lost    bool
 	acked   uint32
@@ -36,9 +36,9 @@
 	}
 }
 
-func (a *attempt) accept(p *proto.Answer) {
+func (a *attempt) addPart(p *proto.Answer) {
 	a.mu.Lock()
-	a.due = append(a.due, a.asm.Accept(p)...)
+	a.ready = append(a.ready, a.asm.Accept(p)...)
 	a.mu.Unlock()
 	a.signal()
 }
@@ -50,8 +50,8 @@
 	a.signal()
 }
 
-// lose ends an attempt whose agent can't be reached any more.
-func (a *attempt) lose() {
+// markLost ends an attempt whose agent is no longer reachable.
+func (a *attempt) markLost() {
 	a.mu.Lock()
 	a.lost = true
 	a.mu.Unlock()
@@ -65,7 +65,7 @@
 	}
 }
 
-// progress is what has happened to an attempt since it was last asked.
+// progress holds what an attempt has received since the last collect.
 type progress struct {
 	parts   []*proto.Answer
 	refused *proto.Refused
@@ -73,16 +73,16 @@
 	ack     uint32
 }
 
-func (a *attempt) take() progress {
+func (a *attempt) collect() progress {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	p := progress{
-		parts:   a.due,
+		parts:   a.ready,
 		refused: a.refused,
 		lost:    a.lost,
 	}
-	a.due = nil
-	if next := a.asm.Next(); next-a.acked >= ackEvery || a.asm.Whole() && next > a.acked {
+	a.ready = nil
+	if next := a.asm.Next(); next-a.acked >= ackEvery || a.asm.Complete() && next > a.acked {
 		a.acked = next
 		p.ack = next
 	}
--- a/entry/callers.go
+++ b/entry/callers.go
@@ -18,30 +18,31 @@
 )
 
 const (
-	headerRequestID = "X-Request-Id"
-	headerKey       = "Idempotency-Key"
-	headerLabel     = "X-Work-Class"
-	headerTimeout   = "X-Request-Timeout"
-	maxIDLength     = 128
-	maxKeyLength    = 255
-	defaultTokens   = 16
-	prefixBytes     = 256
-	servicesPrefix  = "/services/"
-	modelsPath      = "/v1/models"
-	readTimeout     = time.Minute
+	headerRequestID      = "X-Request-Id"
+	headerIdempotencyKey = "Idempotency-Key"
+	headerWorkClass      = "X-Work-Class"
+	headerTimeout        = "X-Request-Timeout"
+	maxIDLength          = 128
+	maxKeyLength         = 255
+	defaultMaxTokens     = 16
+	prefixHashBytes      = 256
+	servicesPrefix       = "/services/"
+	modelsPath           = "/v1/models"
+	readTimeout          = time.Minute
 )
 
 func (e *Entry) callerRoutes() *fiber.App {
 	app := fiber.New(fiber.Config{
 		AppName:        "geraniumpass entry",
 		BodyLimit:      e.cfg.MaxBody,
-		ReadBufferSize: headerBytes,
+		ReadBufferSize: maxHeaderBytes,
 		ReadTimeout:    readTimeout,
 		ErrorHandler:   callerError,
-		// A streamed request outlives its handler, so that what is read of it must not be reused.
+		// A streamed request outlives its handler, so fiber must not reuse the buffers behind its
+		// strings.
 		Immutable: true,
 	})
-	app.Use(e.tellStopping)
+	app.Use(e.closeWhenStopping)
 	app.Get("/livez", func(c fiber.Ctx) error { return c.SendString("ok") })
 	app.Get("/readyz", e.ready)
 	app.Get(modelsPath, e.models)
@@ -52,7 +53,7 @@
 	return app
 }
 
-// callerError answers what fiber itself found wrong with a request, which was then never run.
+// callerError responds to requests that fiber rejected before any handler ran.
 func callerError(c fiber.Ctx, err error) error {
 	var fe *fiber.Error
 	reason := core.ReasonBadRequest
@@ -71,8 +72,9 @@
 	return sendProblem(c, core.NotRun(reason, err.Error()), "")
 }
 
-// tellStopping has callers of a stopping entry open their next connection elsewhere.
-func (e *Entry) tellStopping(c fiber.Ctx) error {
+// closeWhenStopping closes the connections of a stopping entry so that callers reconnect to another
+// one.
+func (e *Entry) closeWhenStopping(c fiber.Ctx) error {
 	if e.stopping.Load() {
 		c.Response().SetConnectionClose()
 	}
@@ -89,15 +91,15 @@
 	return c.SendString("ok")
 }
 
-// begin reads what all requests have: who asks, under which id, and until when.
-func (e *Entry) begin(c fiber.Ctx) (*request, error) {
+// newRequest authenticates a request and reads its ID and deadline.
+func (e *Entry) newRequest(c fiber.Ctx) (*request, error) {
 	now := e.clock.Now()
 	r := &request{
-		id:       c.Get(headerRequestID),
-		method:   c.Method(),
-		started:  now,
-		deadline: now.Add(e.cfg.DefaultDeadline.Duration),
-		tried:    make(map[string]bool),
+		id:        c.Get(headerRequestID),
+		method:    c.Method(),
+		startedAt: now,
+		deadline:  now.Add(e.cfg.DefaultDeadline.Duration),
+		tried:     make(map[string]bool),
 	}
 	if r.id == "" || len(r.id) > maxIDLength {
 		r.id = e.cfg.ID + "-" + strconv.FormatUint(e.self.Incarnation, 36) + "-" + strconv.FormatUint(e.requests.Add(1), 36)
@@ -118,7 +120,7 @@
 	}
 	r.account = account.Name
 	if t := c.Get(headerTimeout); t != "" {
-		d, err := timeout(t)
+		d, err := parseTimeout(t)
 		if err != nil {
 			return r, core.NotRun(core.ReasonBadRequest, headerTimeout+" must be a number of seconds or a duration such as 1.5s")
 		}
@@ -127,7 +129,7 @@
 	return r, nil
 }
 
-func timeout(s string) (time.Duration, error) {
+func parseTimeout(s string) (time.Duration, error) {
 	if n, err := strconv.ParseFloat(s, 64); err == nil && n > 0 {
 		return time.Duration(n * float64(time.Second)), nil
 	}
@@ -138,16 +140,16 @@
 	return d, err
 }
 
-// answer serves an admitted request, streamed or whole.
-func (e *Entry) answer(c fiber.Ctx, r *request) error {
-	r.class = e.config.Document().Classify(r.service, r.account, c.Get(headerLabel))
-	r.headers = proto.Headers(c.Request().Header.All(), skipped)
+// respond serves an admitted request and sends the answer streamed or whole.
+func (e *Entry) respond(c fiber.Ctx, r *request) error {
+	r.class = e.config.Document().Classify(r.service, r.account, c.Get(headerWorkClass))
+	r.headers = proto.Headers(c.Request().Header.All(), hopHeaders)
 	r.body = append([]byte{}, c.Body()...)
-	e.open.Add(1)
+	e.inFlight.Add(1)
 	if r.stream {
-		return e.answerStream(c, r)
+		return e.respondStream(c, r)
 	}
-	defer e.open.Add(-1)
+	defer e.inFlight.Add(-1)
 	out := &bufferSink{}
 	if err := e.serve(r, out); err != nil {
 		return e.refuse(c, r, err)
@@ -160,18 +162,18 @@
 	return c.Status(out.status).Send(out.body)
 }
 
-func (e *Entry) answerStream(c fiber.Ctx, r *request) error {
+func (e *Entry) respondStream(c fiber.Ctx, r *request) error {
 	out := newStreamSink()
 	go func() {
 		err := e.serve(r, out)
 		if !r.headSent {
 			close(out.head)
 		}
-		out.end(err)
+		out.finish(err)
 	}()
 	head, ok := <-out.head
 	if !ok {
-		defer e.open.Add(-1)
+		defer e.inFlight.Add(-1)
 		for range out.data {
 			continue
 		}
@@ -183,7 +185,7 @@
 	c.Set(headerRequestID, r.id)
 	c.Status(head.Status)
 	return c.SendStreamWriter(func(w *bufio.Writer) {
-		defer e.open.Add(-1)
+		defer e.inFlight.Add(-1)
 		err := out.copyTo(w)
 		e.finish(r, err)
 		var refusal *core.Refusal
@@ -195,7 +197,7 @@
 	})
 }
 
-// refuse answers with a problem document and counts the request.
+// refuse records the result and responds with a problem document.
 func (e *Entry) refuse(c fiber.Ctx, r *request, err error) error {
 	var refusal *core.Refusal
 	if !errors.As(err, &refusal) {
--- a/entry/changer.go
+++ b/entry/changer.go
@@ -15,41 +15,42 @@
 )
 
 const (
-	pagePrefix  = "geraniumpass/audit/"
-	changePause = 100 * time.Millisecond
+	auditPrefix    = "geraniumpass/audit/"
+	swapRetryDelay = 100 * time.Millisecond
 )
 
-// changer accepts operators' changes: one document, one compare-and-swap.
-type changer struct {
+// configWriter commits operators' changes to the configuration document by compare-and-swap.
+type configWriter struct {
 	store  store.Store
 	clock  clockwork.Clock
 	config *config.Holder
 }
 
-func newChanger(st store.Store, clock clockwork.Clock, h *config.Holder) *changer {
-	return &changer{
+func newConfigWriter(st store.Store, clock clockwork.Clock, h *config.Holder) *configWriter {
+	return &configWriter{
 		store:  st,
 		clock:  clock,
 		config: h,
 	}
 }
 
-// change applies a record made against revision base and returns the revision that it became once the service has confirmed it.
-// It fails with a *config.ConflictError, *config.InvalidError, *config.UnsureError or *store.DownError.
-func (c *changer) change(ctx context.Context, base uint64, r config.Record) (uint64, error) {
+// apply commits record r made against revision base and returns the new revision once the key-value
+// service has confirmed it. It fails with a *config.ConflictError, *config.InvalidError,
+// *config.UnsureError or *store.DownError.
+func (c *configWriter) apply(ctx context.Context, base uint64, r config.Record) (uint64, error) {
 	v, err := c.store.Get(ctx, configKey)
 	if err != nil {
 		return 0, errs.Wrap(err)
 	}
-	doc, err := decode(v)
+	doc, err := decodeDocument(v)
 	if err != nil {
 		return 0, err
 	}
-	if done, ok := find(doc, r.ID); ok {
-		return done.Revision, sameChange(done, r)
+	if done, ok := findRecord(doc, r.ID); ok {
+		return done.Revision, checkSameChange(done, r)
 	}
 	if doc.Revision != base || doc.Revision < c.config.Document().Revision {
-		return 0, conflict(base, doc)
+		return 0, newConflictError(base, doc)
 	}
 	r.Revision = base + 1
 	r.At = c.clock.Now().UTC()
@@ -57,14 +58,15 @@
 	if err != nil {
 		return 0, err
 	}
-	if next, err = c.page(ctx, next); err != nil {
+	if next, err = c.archiveRecords(ctx, next); err != nil {
 		return 0, err
 	}
 	return c.swap(ctx, next, v.Modified, r.ID)
 }
 
-// swap writes the document; after a lost answer it reads back and repeats only the same conditional write, which can succeed once.
-func (c *changer) swap(ctx context.Context, next *config.Document, modified int64, id string) (uint64, error) {
+// swap writes the document. If the reply is lost it repeats the same conditional write, which can
+// succeed only once.
+func (c *configWriter) swap(ctx context.Context, next *config.Document, modified int64, id string) (uint64, error) {
 	data, err := json.Marshal(next)
 	if err != nil {
 		return 0, errs.Wrap(err)
@@ -78,7 +80,7 @@
 		}
 		var lost *store.ConflictError
 		if errors.As(err, &lost) {
-			return c.settle(lost.Current, next, id)
+			return c.resolveConflict(lost.Current, next, id)
 		}
 		var maybe *store.UnknownOutcomeError
 		unsure = unsure || errors.As(err, &maybe)
@@ -88,47 +90,49 @@
 		select {
 		case <-ctx.Done():
 			return 0, &config.UnsureError{ID: id}
-		case <-c.clock.After(changePause):
+		case <-c.clock.After(swapRetryDelay):
 		}
 	}
 }
 
-// settle finds out from what the service holds whether the change was accepted after all.
-func (c *changer) settle(v store.Value, next *config.Document, id string) (uint64, error) {
-	doc, err := decode(v)
+// resolveConflict determines from the stored document whether the change was committed after all.
+func (c *configWriter) resolveConflict(v store.Value, next *config.Document, id string) (uint64, error) {
+	doc, err := decodeDocument(v)
 	if err != nil {
 		return 0, err
 	}
-	if done, ok := find(doc, id); ok {
+	if done, ok := findRecord(doc, id); ok {
 		c.config.Offer(doc)
 		return done.Revision, nil
 	}
 	if _, all := doc.Since(next.Revision - 1); !all {
 		return 0, &config.UnsureError{ID: id}
 	}
-	return 0, conflict(next.Revision-1, doc)
+	return 0, newConflictError(next.Revision-1, doc)
 }
 
-// page moves the oldest records out of a long document into a page of their own, which is written first.
-func (c *changer) page(ctx context.Context, doc *config.Document) (*config.Document, error) {
-	short, old := config.Trim(doc)
-	if len(old) == 0 {
+// archiveRecords moves the oldest records of a long document to an audit page, which is written
+// before the shortened document.
+func (c *configWriter) archiveRecords(ctx context.Context, doc *config.Document) (*config.Document, error) {
+	trimmed, archived := config.Trim(doc)
+	if len(archived) == 0 {
 		return doc, nil
 	}
-	data, err := json.Marshal(old)
+	data, err := json.Marshal(archived)
 	if err != nil {
 		return nil, errs.Wrap(err)
 	}
-	_, err = c.store.Swap(ctx, pageKey(old[0].Revision), data, 0, 0)
-	var there *store.ConflictError
-	if err != nil && !errors.As(err, &there) {
+	_, err = c.store.Swap(ctx, auditPageKey(archived[0].Revision), data, 0, 0)
+	var exists *store.ConflictError
+	if err != nil && !errors.As(err, &exists) {
 		return nil, err
 	}
-	return short, nil
+	return trimmed, nil
 }
 
-// audit returns the records from revision first on, from pages where they have left the document.
-func (c *changer) audit(ctx context.Context, first uint64) ([]config.Record, error) {
+// audit returns the records starting at revision first, reading audit pages for those no longer in
+// the document.
+func (c *configWriter) audit(ctx context.Context, first uint64) ([]config.Record, error) {
 	doc := c.config.Document()
 	records, ok := doc.Since(max(first, 1) - 1)
 	if ok {
@@ -136,8 +140,8 @@
 	}
 	var out []config.Record
 	inDoc := doc.Revision - uint64(len(doc.Records)) + 1
-	for start := pageStart(first); start < inDoc; start += config.PageRecords {
-		v, err := c.store.Get(ctx, pageKey(start))
+	for start := auditPageStart(first); start < inDoc; start += config.PageRecords {
+		v, err := c.store.Get(ctx, auditPageKey(start))
 		if err != nil {
 			return nil, errs.Wrap(err)
 		}
@@ -156,15 +160,15 @@
 	return append(out, doc.Records...), nil
 }
 
-func pageStart(revision uint64) uint64 {
+func auditPageStart(revision uint64) uint64 {
 	return (max(revision, 1)-1)/config.PageRecords*config.PageRecords + 1
 }
 
-func pageKey(first uint64) string {
-	return fmt.Sprintf("%s%012d", pagePrefix, first)
+func auditPageKey(first uint64) string {
+	return fmt.Sprintf("%s%012d", auditPrefix, first)
 }
 
-func decode(v store.Value) (*config.Document, error) {
+func decodeDocument(v store.Value) (*config.Document, error) {
 	doc := &config.Document{}
 	if v.Modified == 0 {
 		return doc, nil
@@ -172,7 +176,7 @@
 	return doc, errs.Wrap(json.Unmarshal(v.Data, doc))
 }
 
-func find(doc *config.Document, id string) (config.Record, bool) {
+func findRecord(doc *config.Document, id string) (config.Record, bool) {
 	for _, r := range doc.Records {
 		if r.ID == id {
 			return r, true
@@ -181,11 +185,12 @@
 	return config.Record{}, false
 }
 
-// sameChange accepts a repeat of an accepted change and refuses another change under its id.
-func sameChange(done, again config.Record) error {
+// checkSameChange accepts a retry of a committed change and rejects a different change with the
+// same ID.
+func checkSameChange(done, repeated config.Record) error {
 	a, errA := json.Marshal(done.Ops)
-	b, errB := json.Marshal(again.Ops)
-	if errA != nil || errB != nil || string(a) != string(b) || done.Who != again.Who {
+	b, errB := json.Marshal(repeated.Ops)
+	if errA != nil || errB != nil || string(a) != string(b) || done.Who != repeated.Who {
 		return &config.ConflictError{
 			Base:    done.Revision - 1,
 			Current: done.Revision,
@@ -195,7 +200,7 @@
 	return nil
 }
 
-func conflict(base uint64, doc *config.Document) error {
+func newConflictError(base uint64, doc *config.Document) error {
 	others, _ := doc.Since(base)
 	return &config.ConflictError{
 		Base:    base,
--- a/entry/completion.go
+++ b/entry/completion.go
@@ -10,7 +10,7 @@
 	"geraniumpass/core"
 )
 
-// completionBody is what the entry reads of a completion request; the rest is passed on unread.
+// completionBody holds the fields of a completion request that the entry reads.
 type completionBody struct {
 	Model     string        `json:"model"`
 	Prompt    string        `json:"prompt"`
@@ -20,7 +20,7 @@
 }
 
 func (e *Entry) completion(c fiber.Ctx) error {
-	r, err := e.begin(c)
+	r, err := e.newRequest(c)
 	if err != nil {
 		return e.refuse(c, r, err)
 	}
@@ -36,32 +36,32 @@
 		return e.refuse(c, r, core.NotRun(core.ReasonNoService, "there is no model "+strconv.Quote(body.Model)))
 	}
 	if body.MaxTokens <= 0 {
-		body.MaxTokens = defaultTokens
+		body.MaxTokens = defaultMaxTokens
 	}
 	r.service = body.Model
 	r.path = c.Path()
 	r.stream = body.Stream
 	r.idempotent = true
 	r.cost = float64(body.MaxTokens)
-	r.prefix = prefixOf(&body)
-	return e.answer(c, r)
+	r.prefixHash = prefixOf(&body)
+	return e.respond(c, r)
 }
 
-// prefixOf hashes the beginning of the prompt, by which engines cache.
+// prefixOf hashes the beginning of the prompt for cache affinity: engines cache by prompt prefix.
 func prefixOf(b *completionBody) uint64 {
 	text := b.Prompt
 	if len(b.Messages) > 0 {
 		text = b.Messages[0].Content
 	}
-	if len(text) < prefixBytes {
+	if len(text) < prefixHashBytes {
 		return 0
 	}
-	return xxhash.Sum64String(text[:prefixBytes])
+	return xxhash.Sum64String(text[:prefixHashBytes])
 }
 
-// models lists the services that are model engines, in the common shape.
+// models lists the model services in the format of the OpenAI models endpoint.
 func (e *Entry) models(c fiber.Ctx) error {
-	if _, err := e.begin(c); err != nil {
+	if _, err := e.newRequest(c); err != nil {
 		return e.refuse(c, &request{}, err)
 	}
 	type model struct {
--- a/entry/doc.go
+++ b/entry/doc.go
@@ -1,2 +1,2 @@
-// Package entry runs the process that callers reach: it admits, classifies, routes and answers their requests.
+// Package entry implements the process that admits, classifies and routes callers' requests.
 package entry
--- a/entry/entry.go
+++ b/entry/entry.go
@@ -23,49 +23,51 @@
 )
 
 const (
-	defaultLinks    = 96
-	defaultBody     = 8 << 20
-	defaultDeadline = 2 * time.Minute
-	defaultRetains  = time.Hour
-	stopTime        = 10 * time.Minute
-	// stopNotice is how long a stopping entry goes on accepting while it tells callers and the balancer to go elsewhere.
-	stopNotice  = 2 * time.Second
-	headerBytes = 16 << 10
+	defaultMaxLinks       = 96
+	defaultMaxBodyBytes   = 8 << 20
+	defaultDeadline       = 2 * time.Minute
+	defaultClaimRetention = time.Hour
+	shutdownTimeout       = 10 * time.Minute
+	// shutdownDelay is how long a stopping entry keeps accepting requests while it reports not
+	// ready and closes connections, so that callers and load balancers move elsewhere.
+	shutdownDelay  = 2 * time.Second
+	maxHeaderBytes = 16 << 10
 )
 
-// Entry is the process between callers and agents.
+// Entry accepts callers' requests and dispatches them to agents.
 type Entry struct {
 	cfg   *setup.Entry
 	log   hclog.Logger
 	clock clockwork.Clock
-	// begun is when this process started.
-	begun  time.Time
-	self   wire.Identity
-	store  store.Store
-	list   Lister
-	config *config.Holder
-	peers  *peers
-	claims *claims
-	change *changer
-	budget *retry.Budget
-	meter  *meter.Meter
-	groups *leaders
-	mates  *mates
+	// startedAt is the origin of the timestamps that sinceStart returns.
+	startedAt    time.Time
+	self         wire.Identity
+	store        store.Store
+	lister       Lister
+	config       *config.Holder
+	peers        *peers
+	claims       *claims
+	configWriter *configWriter
+	retryBudget  *retry.Budget
+	meter        *meter.Meter
+	groups       *groupLeaders
+	gossip       *gossiper
 
-	callers  *fiber.App
-	control  *fiber.App
-	requests atomic.Uint64
-	open     atomic.Int64
-	stopping atomic.Bool
-	// seen is the newest revision of the configuration's key that was read.
-	seen  atomic.Int64
-	loops sync.WaitGroup
-	// ctx ends when the last request has been answered and the background loops are to stop.
+	callerApp  *fiber.App
+	controlApp *fiber.App
+	requests   atomic.Uint64
+	inFlight   atomic.Int64
+	stopping   atomic.Bool
+	// configModRevision is the newest modification revision read from the configuration key.
+	configModRevision atomic.Int64
+	background        sync.WaitGroup
+	// ctx is cancelled after the last request was answered, to stop the background loops.
 	ctx    context.Context
 	cancel context.CancelFunc
 }
 
-// New builds an entry from what the injector provides: *setup.Entry, hclog.Logger, clockwork.Clock, store.Store and Lister.
+// New builds an entry; the injector must provide *setup.Entry, hclog.Logger, clockwork.Clock,
+// store.Store and Lister.
 func New(i do.Injector) (*Entry, error) {
 	cfg, err := do.Invoke[*setup.Entry](i)
 	if err != nil {
@@ -89,59 +91,59 @@
 	}
 	withDefaults(cfg)
 	e := &Entry{
-		cfg:   cfg,
-		log:   log.With("entry", cfg.ID),
-		clock: clock,
-		begun: clock.Now(),
+		cfg:       cfg,
+		log:       log.With("entry", cfg.ID),
+		clock:     clock,
+		startedAt: clock.Now(),
 		self: wire.Identity{
 			ID:          cfg.ID,
 			Role:        cfg.Role,
 			Domain:      cfg.Domain,
 			Incarnation: wire.NewIncarnation(),
 		},
-		store:  st,
-		list:   list,
-		config: config.NewHolder(clock),
-		budget: retry.NewBudget(),
-		meter:  meter.New(clock),
+		store:       st,
+		lister:      list,
+		config:      config.NewHolder(clock),
+		retryBudget: retry.NewBudget(),
+		meter:       meter.New(clock),
 	}
 	e.ctx, e.cancel = context.WithCancel(context.Background())
 	e.peers = newPeers(e)
-	e.mates = newMates(e)
+	e.gossip = newGossiper(e)
 	e.claims = newClaims(st, clock, cfg.ClaimRetention.Duration)
-	e.change = newChanger(st, clock, e.config)
-	e.groups = newLeaders(e)
+	e.configWriter = newConfigWriter(st, clock, e.config)
+	e.groups = newGroupLeaders(e)
 	return e, nil
 }
 
 func withDefaults(cfg *setup.Entry) {
 	if cfg.MaxLinks == 0 {
-		cfg.MaxLinks = defaultLinks
+		cfg.MaxLinks = defaultMaxLinks
 	}
 	if cfg.MaxBody == 0 {
-		cfg.MaxBody = defaultBody
+		cfg.MaxBody = defaultMaxBodyBytes
 	}
 	if cfg.DefaultDeadline.Duration == 0 {
 		cfg.DefaultDeadline.Duration = defaultDeadline
 	}
 	if cfg.ClaimRetention.Duration == 0 {
-		cfg.ClaimRetention.Duration = defaultRetains
+		cfg.ClaimRetention.Duration = defaultClaimRetention
 	}
 }
 
-// Run serves until ctx ends, then stops gracefully: it stops listening, finishes every request in flight and returns.
+// Run serves until ctx is cancelled, then shuts down gracefully, completing all requests in flight.
 func (e *Entry) Run(ctx context.Context) error {
-	e.callers = e.callerRoutes()
-	e.control = e.controlRoutes()
+	e.callerApp = e.callerRoutes()
+	e.controlApp = e.controlRoutes()
 	failed := make(chan error, 2)
 	serve := func(app *fiber.App, address string) {
 		failed <- app.Listen(address, fiber.ListenConfig{DisableStartupMessage: true})
 	}
-	go serve(e.control, e.cfg.Control)
-	go serve(e.callers, e.cfg.Listen)
+	go serve(e.controlApp, e.cfg.Control)
+	go serve(e.callerApp, e.cfg.Listen)
 	defer e.cancel()
-	for _, loop := range []func(context.Context){e.syncConfig, e.watchList, e.groups.run, e.mates.run} {
-		e.loops.Go(func() { loop(e.ctx) })
+	for _, loop := range []func(context.Context){e.syncConfig, e.pollInstances, e.groups.run, e.gossip.run} {
+		e.background.Go(func() { loop(e.ctx) })
 	}
 	e.log.Info("entry started", "listen", e.cfg.Listen, "control", e.cfg.Control, "domain", e.cfg.Domain)
 	select {
@@ -152,39 +154,39 @@
 	e.stop()
 	e.peers.flush()
 	e.cancel()
-	e.loops.Wait()
-	_ = e.control.ShutdownWithTimeout(time.Second)
+	e.background.Wait()
+	_ = e.controlApp.ShutdownWithTimeout(time.Second)
 	e.log.Info("entry stopped")
 	return nil
 }
 
-// stop lets everything in flight end before it returns.
+// stop closes the caller listener and waits until no request is in flight.
 func (e *Entry) stop() {
 	e.stopping.Store(true)
-	e.log.Info("stopping", "in_flight", e.open.Load())
-	e.clock.Sleep(stopNotice)
-	if err := e.callers.ShutdownWithTimeout(stopTime); err != nil {
-		e.log.Warn("callers cut off", "error", err)
-		check.Hold(check.GracefulStop, false, "%d requests were in flight at the end of a stop: %v", e.open.Load(), err)
+	e.log.Info("shutting down", "in_flight", e.inFlight.Load())
+	e.clock.Sleep(shutdownDelay)
+	if err := e.callerApp.ShutdownWithTimeout(shutdownTimeout); err != nil {
+		e.log.Warn("caller listener did not shut down within its timeout", "error", err)
+		check.Assert(check.GracefulStop, false, "%d requests still in flight when the shutdown timed out: %v", e.inFlight.Load(), err)
 	}
-	for e.open.Load() > 0 {
+	for e.inFlight.Load() > 0 {
 		e.clock.Sleep(time.Millisecond)
 	}
 }
 
-// sharedSource draws from the runtime's generator, which any goroutine may use.
-type sharedSource struct{}
+// globalSource draws from the global generator of math/rand/v2, which is safe for concurrent use.
+type globalSource struct{}
 
 // Uint64 implements rand.Source.
-func (sharedSource) Uint64() uint64 {
+func (globalSource) Uint64() uint64 {
 	return rand.Uint64()
 }
 
-func random() *rand.Rand {
-	return rand.New(sharedSource{})
+func newRand() *rand.Rand {
+	return rand.New(globalSource{})
 }
 
-// sinceStart is the time on the steady clock that messages say they were sent at.
+// sinceStart returns the monotonic timestamp used as the send time of messages.
 func (e *Entry) sinceStart() time.Duration {
-	return e.clock.Since(e.begun)
+	return e.clock.Since(e.startedAt)
 }
--- a/entry/finish.go
+++ b/entry/finish.go
@@ -8,17 +8,17 @@
 	"geraniumpass/meter"
 )
 
-// finish counts a request that has got its final answer and logs it in one line.
+// finish records the metrics of a completed request and logs its result.
 func (e *Entry) finish(r *request, err error) {
 	now := e.clock.Now()
-	took := now.Sub(r.started)
+	took := now.Sub(r.startedAt)
 	measured := took
-	if r.class.Target.Measure == config.MeasureFirstToken && !r.answered.IsZero() {
-		measured = r.answered.Sub(r.started)
+	if r.class.Target.Measure == config.MeasureFirstToken && !r.firstDataAt.IsZero() {
+		measured = r.firstDataAt.Sub(r.startedAt)
 	}
 	result := meter.ResultWhole
 	var refusal *core.Refusal
-	var gone *goneError
+	var gone *callerGoneError
 	switch {
 	case errors.As(err, &refusal) && refusal.Outcome == core.OutcomeNotRun:
 		result = meter.ResultNotRun
--- a/entry/grouplead.go
+++ b/entry/grouplead.go
@@ -13,56 +13,58 @@
 )
 
 const (
-	leaderPrefix = "geraniumpass/groups/"
-	leaderLease  = 5 * time.Second
-	keepEvery    = 1500 * time.Millisecond
-	seekEvery    = 2 * time.Second
-	peekEvery    = 2 * time.Second
-	// inquireEvery is how soon a rank that holds the promise of a leader long gone is found out.
-	inquireEvery = time.Minute
-	resendEvery  = 200 * time.Millisecond
-	stageLimit   = 30 * time.Second
-	capLimit     = 2 * time.Second
-	// lookAhead is the time that a switch is set ahead of the ranks' steps, so that every cap arrives before its step.
-	lookAhead = 150 * time.Millisecond
-	// copyCost is the time that a group is taken to lose for each expert that it loads.
-	copyCost = 10 * time.Millisecond
-	surgeAt  = 0.9
+	leaderPrefix       = "geraniumpass/groups/"
+	leaderLeaseTTL     = 5 * time.Second
+	leaseRenewInterval = 1500 * time.Millisecond
+	campaignInterval   = 2 * time.Second
+	peekInterval       = 2 * time.Second
+	// inquiryInterval bounds how long a rank's promise to a defunct leader goes undetected.
+	inquiryInterval = time.Minute
+	resendInterval  = 200 * time.Millisecond
+	stageTimeout    = 30 * time.Second
+	capTimeout      = 2 * time.Second
+	// switchLeadTime is how far ahead of the ranks' current step a switch is scheduled, so that
+	// every cap arrives before its step.
+	switchLeadTime = 150 * time.Millisecond
+	// expertLoadCost is the assumed time lost by a group per expert loaded.
+	expertLoadCost   = 10 * time.Millisecond
+	surgeUtilization = 0.9
 )
 
-// groupLead is this entry's part in the lead of one group.
-type groupLead struct {
+// groupLeader is this entry's leadership state for one group.
+type groupLeader struct {
 	e    *Entry
 	name string
 
-	mu        sync.Mutex
-	target    config.Group
-	leader    *epmap.Leader
-	balancer  *place.Rebalancer
-	lease     store.Lease
-	kept      time.Time
-	sought    time.Time
-	sentAt    time.Time
-	sentSeq   uint64
-	phaseAt   time.Time
-	phaseSeq  uint64
-	inquired  time.Time
-	peeked    time.Time
-	lastStep  uint64
-	lastAt    time.Time
-	stepRate  float64
-	agents    []string
-	skew      float64
-	moves     int
-	switching bool
+	mu             sync.Mutex
+	target         config.Group
+	leader         *epmap.Leader
+	balancer       *place.Rebalancer
+	lease          store.Lease
+	leaseRenewedAt time.Time
+	campaignedAt   time.Time
+	sentAt         time.Time
+	sentSeq        uint64
+	phaseAt        time.Time
+	phaseSeq       uint64
+	inquiredAt     time.Time
+	peekedAt       time.Time
+	lastStep       uint64
+	lastStepAt     time.Time
+	stepRate       float64
+	agents         []string
+	skew           float64
+	expertsCopied  int
+	// decided is set once a switch was considered for the latest reported state.
+	decided bool
 }
 
-func newGroupLead(e *Entry, g config.Group) *groupLead {
-	return &groupLead{
+func newGroupLeader(e *Entry, g config.Group) *groupLeader {
+	return &groupLeader{
 		e:        e,
 		name:     g.Name,
 		target:   g,
-		balancer: place.NewRebalancer(placeTarget(g), place.Cost{PerCopy: copyCost}),
+		balancer: place.NewRebalancer(placeTarget(g), place.Cost{PerCopy: expertLoadCost}),
 	}
 }
 
@@ -74,32 +76,33 @@
 	}
 }
 
-func (g *groupLead) retarget(to config.Group) {
+func (g *groupLeader) setTarget(to config.Group) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.target = to
 	g.balancer.SetTarget(placeTarget(to))
 }
 
-// tick takes the lead, keeps it, and drives the switch that is under way.
-func (g *groupLead) tick(ctx context.Context) {
+// tick campaigns for the leadership or renews its lease, and advances the current switch.
+func (g *groupLeader) tick(ctx context.Context) {
 	now := g.e.clock.Now()
 	g.mu.Lock()
 	leading := g.leader != nil && g.leader.Phase != epmap.PhaseDeposed
-	keep := leading && now.Sub(g.kept) > keepEvery
-	seek := !leading && now.Sub(g.sought) > seekEvery
+	keep := leading && now.Sub(g.leaseRenewedAt) > leaseRenewInterval
+	seek := !leading && now.Sub(g.campaignedAt) > campaignInterval
 	g.mu.Unlock()
 	switch {
 	case keep:
-		g.keep(ctx)
+		g.renewLease(ctx)
 	case seek:
-		g.seek(ctx)
+		g.campaign(ctx)
 	}
-	g.drive(now)
+	g.advance(now)
 }
 
-// drive sends what is open, gives up what takes too long, and starts inquiries and switches.
-func (g *groupLead) drive(now time.Time) {
+// advance resends outstanding orders, aborts phases that time out, and starts inquiries and
+// switches.
+func (g *groupLeader) advance(now time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	l := g.leader
@@ -109,41 +112,42 @@
 	if l.Seq != g.phaseSeq {
 		g.phaseSeq, g.phaseAt = l.Seq, now
 	}
-	inPhase := now.Sub(g.phaseAt)
-	if l.Phase == epmap.PhaseStage && inPhase > stageLimit || l.Phase == epmap.PhaseCap && inPhase > capLimit {
-		g.e.log.Warn("switch given up", "group", g.name, "phase", l.Phase)
+	phaseAge := now.Sub(g.phaseAt)
+	if l.Phase == epmap.PhaseStage && phaseAge > stageTimeout || l.Phase == epmap.PhaseCap && phaseAge > capTimeout {
+		g.e.log.Warn("map switch timed out", "group", g.name, "phase", l.Phase)
 		l.Abort()
 	}
 	if l.Phase == epmap.PhaseSteady {
-		g.steady(now)
+		g.tickSteady(now)
 	}
-	if l.Seq != g.sentSeq || now.Sub(g.sentAt) > resendEvery {
+	if l.Seq != g.sentSeq || now.Sub(g.sentAt) > resendInterval {
 		g.sentSeq, g.sentAt = l.Seq, now
 		g.send()
 	}
 }
 
-func (g *groupLead) send() {
+func (g *groupLeader) send() {
 	for rank := range g.agents {
 		g.sendTo(rank, g.leader.Order(rank))
 	}
 }
 
-func (g *groupLead) sendTo(rank int, o *proto.Order) {
+func (g *groupLeader) sendTo(rank int, o *proto.Order) {
 	if o == nil {
 		return
 	}
-	p := g.e.peers.reach(g.agents[rank])
+	p := g.e.peers.connect(g.agents[rank])
 	if p == nil {
 		return
 	}
-	if link := p.present(); link != nil {
+	if link := p.currentLink(); link != nil {
 		_ = link.Send(&proto.Frame{Order: o})
 	}
 }
 
-// reply hands a rank's reply to the leader and goes on at once when that ends a phase.
-func (g *groupLead) reply(agent string, r *proto.OrderReply) {
+// handleReply passes a rank's reply to the leader and sends the next orders immediately if that
+// ends a phase.
+func (g *groupLeader) handleReply(agent string, r *proto.OrderReply) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.leader == nil {
@@ -155,29 +159,29 @@
 		}
 		before := g.leader.Phase
 		if rank == 0 && g.leader.Peeked(r) {
-			g.learn()
+			g.recordState()
 			return
 		}
 		g.leader.Handle(rank, r)
-		g.phaseChanged(before)
+		g.onPhaseChange(before)
 	}
 }
 
-func (g *groupLead) phaseChanged(before epmap.Phase) {
+func (g *groupLeader) onPhaseChange(before epmap.Phase) {
 	l := g.leader
 	if l.Phase == before {
 		return
 	}
 	if before == epmap.PhaseInquire && l.Phase == epmap.PhaseSteady {
-		g.inquired = g.e.clock.Now()
-		g.learn()
+		g.inquiredAt = g.e.clock.Now()
+		g.recordState()
 	}
 	if before == epmap.PhaseGrant && l.Phase == epmap.PhaseSteady {
 		g.e.log.Info("map switched", "group", g.name, "version", l.Plan.Version)
-		g.peeked = time.Time{}
+		g.peekedAt = time.Time{}
 	}
 	if l.Phase == epmap.PhaseDeposed {
-		g.e.log.Info("deposed", "group", g.name)
+		g.e.log.Info("group leadership lost", "group", g.name)
 		return
 	}
 	if l.Seq != g.sentSeq {
@@ -186,8 +190,8 @@
 	}
 }
 
-// learn takes in what an inquiry has found: popularity and the pace of the steps.
-func (g *groupLead) learn() {
+// recordState updates expert popularity and the step rate from the ranks' reported state.
+func (g *groupLeader) recordState() {
 	now := g.e.clock.Now()
 	for i := range g.leader.Ranks {
 		s := &g.leader.Ranks[i].State
@@ -196,32 +200,33 @@
 		}
 	}
 	step := g.leader.Ranks[0].State.Step
-	if d := now.Sub(g.lastAt).Seconds(); g.lastStep > 0 && step > g.lastStep && d > 0 {
+	if d := now.Sub(g.lastStepAt).Seconds(); g.lastStep > 0 && step > g.lastStep && d > 0 {
 		g.stepRate = float64(step-g.lastStep) / d
 	}
-	g.lastStep, g.lastAt = step, now
-	g.switching = false
+	g.lastStep, g.lastStepAt = step, now
+	g.decided = false
 }
 
-// steady decides on a switch after each inquiry, as long as the lease is known to hold.
-func (g *groupLead) steady(now time.Time) {
-	if now.Sub(g.inquired) > inquireEvery {
+// tickSteady decides on a switch once after each inquiry or peek, provided that the lease was
+// renewed within its TTL.
+func (g *groupLeader) tickSteady(now time.Time) {
+	if now.Sub(g.inquiredAt) > inquiryInterval {
 		g.leader.Inquire()
 		return
 	}
-	if now.Sub(g.peeked) > peekEvery {
-		g.peeked = now
+	if now.Sub(g.peekedAt) > peekInterval {
+		g.peekedAt = now
 		g.sendTo(0, g.leader.Peek())
 	}
-	if g.switching || now.Sub(g.kept) > leaderLease {
+	if g.decided || now.Sub(g.leaseRenewedAt) > leaderLeaseTTL {
 		return
 	}
-	g.switching = true
-	current := g.current()
+	g.decided = true
+	current := g.currentPlacement()
 	if current == nil {
 		return
 	}
-	d := g.balancer.Decide(now, current, g.surge())
+	d := g.balancer.Decide(now, current, g.surging())
 	g.skew = d.Before
 	if d.Verdict != place.VerdictMove {
 		return
@@ -230,12 +235,12 @@
 	if err != nil {
 		return
 	}
-	g.moves += d.Copies
+	g.expertsCopied += d.Copies
 	g.e.log.Info("switching map", "group", g.name, "copies", d.Copies, "skew_before", d.Before, "skew_after", d.After)
-	g.leader.Propose(encoded, uint64(g.stepRate*lookAhead.Seconds()))
+	g.leader.Propose(encoded, uint64(g.stepRate*switchLeadTime.Seconds()))
 }
 
-func (g *groupLead) current() *place.Placement {
+func (g *groupLeader) currentPlacement() *place.Placement {
 	for i := range g.leader.Ranks {
 		if b := g.leader.Ranks[i].State.Map; len(b) > 0 {
 			p, err := place.Decode(b)
@@ -247,8 +252,9 @@
 	return nil
 }
 
-// surge returns true while the ranks' engines are full or work waits before them.
-func (g *groupLead) surge() bool {
+// surging reports whether the ranks' running and queued requests reach surgeUtilization of their
+// combined limit.
+func (g *groupLeader) surging() bool {
 	running, limit := 0, 0
 	for _, id := range g.agents {
 		p := g.e.peers.get(id)
@@ -257,15 +263,15 @@
 		}
 		p.mu.Lock()
 		if p.report != nil {
-			running += p.report.Running + lenQueued(p.report)
+			running += p.report.Running + queuedRequests(p.report)
 			limit += p.report.Limit
 		}
 		p.mu.Unlock()
 	}
-	return limit > 0 && float64(running) >= surgeAt*float64(limit)
+	return limit > 0 && float64(running) >= surgeUtilization*float64(limit)
 }
 
-func lenQueued(r *proto.Report) int {
+func queuedRequests(r *proto.Report) int {
 	n := 0
 	for _, q := range r.Queued {
 		n += q.N
@@ -273,13 +279,13 @@
 	return n
 }
 
-func (g *groupLead) status() GroupStatus {
+func (g *groupLeader) status() GroupStatus {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	s := GroupStatus{
 		Group: g.name,
 		Skew:  g.skew,
-		Moves: g.moves,
+		Moves: g.expertsCopied,
 	}
 	if g.leader != nil {
 		s.Leading = g.leader.Phase != epmap.PhaseDeposed
--- a/entry/grouplease.go
+++ b/entry/grouplease.go
@@ -12,36 +12,38 @@
 	"geraniumpass/store"
 )
 
-// holderMark is the content of a group's leader key.
-type holderMark struct {
+// leaderRecord is the content of a group's leader key.
+type leaderRecord struct {
 	Entry       string `json:"entry"`
 	Incarnation uint64 `json:"incarnation"`
 	Nonce       uint64 `json:"nonce"`
 }
 
-// keep renews the lease; a lapsed one ends the lead, while an outage of the service leaves a switch that is under way to go on.
-func (g *groupLead) keep(ctx context.Context) {
+// renewLease renews the leadership lease. An expired lease ends the leadership; an outage of the
+// key-value service does not, so that a switch in progress can complete.
+func (g *groupLeader) renewLease(ctx context.Context) {
 	err := g.e.store.KeepAlive(ctx, g.lease)
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	var lapsed *store.LeaseError
 	if errors.As(err, &lapsed) {
-		g.e.log.Info("lead of group lapsed", "group", g.name)
+		g.e.log.Info("group leadership lease expired", "group", g.name)
 		g.leader = nil
 		return
 	}
 	if err == nil {
-		g.kept = g.e.clock.Now()
+		g.leaseRenewedAt = g.e.clock.Now()
 	}
 }
 
-// seek takes the lead when nobody holds it; the revision at which the key was made is the fencing number.
-func (g *groupLead) seek(ctx context.Context) {
+// campaign acquires the leadership if the leader key is vacant; the key's creation revision is the
+// fencing token.
+func (g *groupLeader) campaign(ctx context.Context) {
 	g.mu.Lock()
-	g.sought = g.e.clock.Now()
+	g.campaignedAt = g.e.clock.Now()
 	g.mu.Unlock()
-	g.reachAll()
-	ids := g.ranks()
+	g.connectRanks()
+	ids := g.linkedRanks()
 	if ids == nil {
 		return
 	}
@@ -49,11 +51,11 @@
 	if v, err := g.e.store.Get(ctx, key); err != nil || v.Modified != 0 {
 		return
 	}
-	lease, err := g.e.store.Grant(ctx, leaderLease)
+	lease, err := g.e.store.Grant(ctx, leaderLeaseTTL)
 	if err != nil {
 		return
 	}
-	fence, err := g.take(ctx, key, lease)
+	fence, err := g.acquireLead(ctx, key, lease)
 	if err != nil {
 		_ = g.e.store.Revoke(ctx, lease)
 		return
@@ -61,20 +63,21 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.lease = lease
-	g.kept = g.e.clock.Now()
+	g.leaseRenewedAt = g.e.clock.Now()
 	g.agents = ids
 	g.leader = epmap.NewLeader(fence, len(ids))
 	g.e.log.Info("leading group", "group", g.name, "fence", fence, "ranks", len(ids))
 }
 
-// take writes the leader key and returns its revision; a lost answer is settled by reading the key back.
-func (g *groupLead) take(ctx context.Context, key string, lease store.Lease) (uint64, error) {
-	mark := holderMark{
+// acquireLead writes the leader key and returns its creation revision, reading the key back if the
+// reply is lost.
+func (g *groupLeader) acquireLead(ctx context.Context, key string, lease store.Lease) (uint64, error) {
+	record := leaderRecord{
 		Entry:       g.e.cfg.ID,
 		Incarnation: g.e.self.Incarnation,
-		Nonce:       random().Uint64(),
+		Nonce:       newRand().Uint64(),
 	}
-	data, err := json.Marshal(mark)
+	data, err := json.Marshal(record)
 	if err != nil {
 		return 0, errs.Wrap(err)
 	}
@@ -89,28 +92,29 @@
 	if v, err = g.e.store.Get(ctx, key); err != nil {
 		return 0, err
 	}
-	var held holderMark
-	if v.Modified == 0 || json.Unmarshal(v.Data, &held) != nil || held != mark {
+	var stored leaderRecord
+	if v.Modified == 0 || json.Unmarshal(v.Data, &stored) != nil || stored != record {
 		return 0, unsure
 	}
 	return uint64(v.Created), nil
 }
 
-// reachAll links to the ranks that lie outside of the entry's subset: they are of the same service as those that are known.
-func (g *groupLead) reachAll() {
+// connectRanks links to ranks outside the entry's subset; all ranks of a group belong to the same
+// service.
+func (g *groupLeader) connectRanks() {
 	for _, p := range g.e.peers.list() {
 		p.mu.Lock()
 		member := p.group == g.name
 		p.mu.Unlock()
 		if member {
-			g.e.peers.reachService(p.service)
+			g.e.peers.connectService(p.service)
 			return
 		}
 	}
 }
 
-// ranks returns the agents of the group in order of rank, or nil while one of them is not linked.
-func (g *groupLead) ranks() []string {
+// linkedRanks returns the group's agent IDs in rank order, or nil unless every rank is linked.
+func (g *groupLeader) linkedRanks() []string {
 	var ids []string
 	found := 0
 	for _, p := range g.e.peers.list() {
@@ -135,8 +139,9 @@
 	return ids
 }
 
-// resign gives the lead up on a planned stop, so that another entry takes it at once.
-func (g *groupLead) resign() {
+// resign revokes the leadership lease on a planned stop, so that another entry can take over
+// immediately.
+func (g *groupLeader) resign() {
 	g.mu.Lock()
 	leading := g.leader != nil
 	lease := g.lease
--- a/entry/header.go
+++ b/entry/header.go
@@ -9,13 +9,14 @@
 )
 
 const (
-	// headerResume tells an engine how many events the caller has, and an engine that goes on there says so by the same header.
+	// headerResume tells an engine how many events the caller has received; an engine that resumes
+	// the stream at that position echoes the header.
 	headerResume = "X-Resume-From"
 	eventStream  = "text/event-stream"
 )
 
-// skipped are the headers that are this hop's own business.
-var skipped = map[string]bool{
+// hopHeaders are request headers that are not forwarded because they apply to this hop only.
+var hopHeaders = map[string]bool{
 	"authorization":     true,
 	"connection":        true,
 	"content-length":    true,
@@ -31,7 +32,7 @@
 	"expect":            true,
 }
 
-// headerOf returns the first value of a header, or nothing.
+// headerOf returns the first value of a header, or an empty string.
 func headerOf(headers []proto.Header, name string) string {
 	for _, h := range headers {
 		if strings.EqualFold(h.Name, name) {
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -10,7 +10,7 @@
 )
 
 func (p *peer) watchLoop(ctx context.Context) {
-	t := p.e.clock.NewTicker(watchEvery)
+	t := p.e.clock.NewTicker(watchInterval)
 	defer t.Stop()
 	var last time.Time
 	for {
@@ -20,15 +20,15 @@
 		case <-t.Chan():
 		}
 		p.checkSilence()
-		if now := p.e.clock.Now(); now.Sub(last) >= p.e.peers.pace() {
+		if now := p.e.clock.Now(); now.Sub(last) >= p.e.peers.heartbeatInterval() {
 			last = now
-			p.beat()
+			p.sendHeartbeat()
 		}
 	}
 }
 
-func (p *peer) beat() {
-	l := p.present()
+func (p *peer) sendHeartbeat() {
+	l := p.currentLink()
 	if l == nil {
 		return
 	}
@@ -39,36 +39,37 @@
 func (p *peer) heartbeat() *proto.Heartbeat {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	floor := p.nextN
+	floor := p.nextAttempt
 	for n := range p.attempts {
 		floor = min(floor, n)
 	}
 	return &proto.Heartbeat{
 		Floor:    floor,
 		Revision: p.e.config.Document().Revision,
-		Leaving:  p.listLeaving,
+		Leaving:  p.listedLeaving,
 		Heard:    p.report != nil && p.report.Leaving,
 		Sent:     p.e.sinceStart(),
 	}
 }
 
-// checkSilence gives up the attempts of an agent that is silent: soon what may be repeated, later all.
+// checkSilence marks attempts at a silent agent as lost: idempotent ones once the agent is stale
+// or its link has been down for retryAfterDown, the others after resumeTimeout.
 func (p *peer) checkSilence() {
 	p.mu.Lock()
 	var silence time.Duration
 	if p.link == nil {
-		silence = p.e.clock.Since(p.downSince) + p.e.peers.stale() - repeatAfter
+		silence = p.e.clock.Since(p.downSince) + p.e.peers.staleAfter() - retryAfterDown
 	} else {
 		silence = p.link.Silence()
 	}
-	open := p.open()
+	open := p.openAttempts()
 	p.mu.Unlock()
-	if silence < p.e.peers.stale() {
+	if silence < p.e.peers.staleAfter() {
 		return
 	}
 	for _, a := range open {
-		if a.idempotent || silence > resumePatience {
-			a.lose()
+		if a.idempotent || silence > resumeTimeout {
+			a.markLost()
 		}
 	}
 }
--- a/entry/leaders.go
+++ b/entry/leaders.go
@@ -15,28 +15,29 @@
 )
 
 const (
-	leadEvery = 100 * time.Millisecond
-	// rivals is how many entries compete for the lead of a group; the others don't load the key-value service with it.
-	rivals = 3
+	leaderTickInterval = 100 * time.Millisecond
+	// candidatesPerGroup is the number of entries that compete for the leadership of a group. It is
+	// limited to bound the load on the key-value service.
+	candidatesPerGroup = 3
 )
 
-// leaders runs the rank groups that this entry leads or competes for.
-type leaders struct {
+// groupLeaders manages the rank groups that this entry leads or is a candidate for.
+type groupLeaders struct {
 	e *Entry
 
 	mu     sync.Mutex
-	groups map[string]*groupLead
+	groups map[string]*groupLeader
 }
 
-func newLeaders(e *Entry) *leaders {
-	return &leaders{
+func newGroupLeaders(e *Entry) *groupLeaders {
+	return &groupLeaders{
 		e:      e,
-		groups: make(map[string]*groupLead),
+		groups: make(map[string]*groupLeader),
 	}
 }
 
-func (ls *leaders) run(ctx context.Context) {
-	t := ls.e.clock.NewTicker(leadEvery)
+func (ls *groupLeaders) run(ctx context.Context) {
+	t := ls.e.clock.NewTicker(leaderTickInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -46,31 +47,32 @@
 		case <-t.Chan():
 		}
 		for _, g := range ls.e.config.Document().Groups {
-			if gl := ls.lead(g); gl != nil {
+			if gl := ls.leaderFor(g); gl != nil {
 				gl.tick(ctx)
 			}
 		}
 	}
 }
 
-// lead returns the state of a group that this entry is a rival for, with its newest target.
-func (ls *leaders) lead(g config.Group) *groupLead {
+// leaderFor returns the state of a group with its target updated, or nil if this entry is not a
+// candidate for it.
+func (ls *groupLeaders) leaderFor(g config.Group) *groupLeader {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	gl, ok := ls.groups[g.Name]
 	if !ok {
-		if !ls.rival(g.Name) {
+		if !ls.isCandidate(g.Name) {
 			return nil
 		}
-		gl = newGroupLead(ls.e, g)
+		gl = newGroupLeader(ls.e, g)
 		ls.groups[g.Name] = gl
 	}
-	gl.retarget(g)
+	gl.setTarget(g)
 	return gl
 }
 
-// rival returns true when this entry is among the few that rendezvous hashing chooses for the group.
-func (ls *leaders) rival(group string) bool {
+// isCandidate reports whether rendezvous hashing selects this entry as a candidate for the group.
+func (ls *groupLeaders) isCandidate(group string) bool {
 	ids := lo.Map(ls.e.peers.entries(), func(in core.Instance, _ int) string { return in.ID })
 	if len(ids) == 0 {
 		return true
@@ -78,29 +80,29 @@
 	sort.Slice(ids, func(i, j int) bool {
 		return xxhash.Sum64String(group+"|"+ids[i]) > xxhash.Sum64String(group+"|"+ids[j])
 	})
-	return lo.Contains(ids[:min(rivals, len(ids))], ls.e.cfg.ID)
+	return lo.Contains(ids[:min(candidatesPerGroup, len(ids))], ls.e.cfg.ID)
 }
 
-// reply hands a rank's reply to the group that the agent is a rank of.
-func (ls *leaders) reply(agent string, r *proto.OrderReply) {
+// handleReply routes a rank's reply to the group that the agent belongs to.
+func (ls *groupLeaders) handleReply(agent string, r *proto.OrderReply) {
 	for _, gl := range ls.all() {
-		gl.reply(agent, r)
+		gl.handleReply(agent, r)
 	}
 }
 
-func (ls *leaders) all() []*groupLead {
+func (ls *groupLeaders) all() []*groupLeader {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
 	return lo.Values(ls.groups)
 }
 
-func (ls *leaders) status() []GroupStatus {
-	out := lo.Map(ls.all(), func(gl *groupLead, _ int) GroupStatus { return gl.status() })
+func (ls *groupLeaders) status() []GroupStatus {
+	out := lo.Map(ls.all(), func(gl *groupLeader, _ int) GroupStatus { return gl.status() })
 	sort.Slice(out, func(i, j int) bool { return out[i].Group < out[j].Group })
 	return out
 }
 
-func (ls *leaders) resign() {
+func (ls *groupLeaders) resign() {
 	for _, gl := range ls.all() {
 		gl.resign()
 	}
--- a/entry/mates.go
+++ b/entry/mates.go
@@ -14,37 +14,37 @@
 )
 
 const (
-	// mateLinks is how many other entries an entry exchanges revisions with.
-	mateLinks    = 2
-	mateEvery    = time.Second
-	mateAttempts = 500 * time.Millisecond
+	// gossipFanout is the number of other entries that an entry exchanges revisions with.
+	gossipFanout      = 2
+	gossipInterval    = time.Second
+	gossipRedialDelay = 500 * time.Millisecond
 )
 
-// mates exchanges the configuration with other entries, and with the seeds until there is one.
-type mates struct {
+// gossiper replicates the configuration between entries, and from the seeds until one is available.
+type gossiper struct {
 	e *Entry
 
-	mu    sync.Mutex
-	links map[string]*wire.Link
-	held  map[string]uint64
+	mu            sync.Mutex
+	links         map[string]*wire.Link
+	heldRevisions map[string]uint64
 }
 
-func newMates(e *Entry) *mates {
-	return &mates{
-		e:     e,
-		links: make(map[string]*wire.Link),
-		held:  make(map[string]uint64),
+func newGossiper(e *Entry) *gossiper {
+	return &gossiper{
+		e:             e,
+		links:         make(map[string]*wire.Link),
+		heldRevisions: make(map[string]uint64),
 	}
 }
 
-func (m *mates) run(ctx context.Context) {
-	t := m.e.clock.NewTicker(mateEvery)
+func (m *gossiper) run(ctx context.Context) {
+	t := m.e.clock.NewTicker(gossipInterval)
 	defer t.Stop()
 	for {
-		for _, address := range m.wanted() {
+		for _, address := range m.targets() {
 			m.connect(ctx, address)
 		}
-		m.beat()
+		m.sendHeartbeats()
 		select {
 		case <-ctx.Done():
 			m.close()
@@ -54,13 +54,14 @@
 	}
 }
 
-// wanted returns the addresses to be linked to: the next entries in order of id, and the seeds while no configuration is held.
-func (m *mates) wanted() []string {
+// targets returns the addresses to link to: the next entries in ID order, and the seeds while the
+// entry has no configuration or knows no other entry.
+func (m *gossiper) targets() []string {
 	rows := m.e.peers.entries()
 	sort.Slice(rows, func(i, j int) bool { return rows[i].ID < rows[j].ID })
 	self := sort.Search(len(rows), func(i int) bool { return rows[i].ID >= m.e.cfg.ID })
 	var out []string
-	for i := 1; i <= mateLinks && i < len(rows); i++ {
+	for i := 1; i <= gossipFanout && i < len(rows); i++ {
 		out = append(out, rows[(self+i)%len(rows)].Address)
 	}
 	if m.e.config.Document().Revision == 0 || len(out) == 0 {
@@ -69,7 +70,7 @@
 	return lo.Uniq(lo.Without(out, m.e.cfg.Control))
 }
 
-func (m *mates) connect(ctx context.Context, address string) {
+func (m *gossiper) connect(ctx context.Context, address string) {
 	m.mu.Lock()
 	_, ok := m.links[address]
 	if !ok {
@@ -79,12 +80,12 @@
 	if ok {
 		return
 	}
-	m.e.loops.Go(func() {
+	m.e.background.Go(func() {
 		self := m.e.self
 		self.Role = wire.RoleExchange
 		l, err := wire.Dial(address, self, []byte(m.e.cfg.LinkKey))
 		if err == nil {
-			m.set(address, l)
+			m.setLink(address, l)
 			stop := context.AfterFunc(ctx, l.Close)
 			_ = l.Send(&proto.Frame{Heartbeat: m.heartbeat()})
 			_ = l.Receive(func(f *proto.Frame) { m.receive(l, f) })
@@ -92,7 +93,7 @@
 		}
 		select {
 		case <-ctx.Done():
-		case <-m.e.clock.After(mateAttempts):
+		case <-m.e.clock.After(gossipRedialDelay):
 		}
 		m.mu.Lock()
 		delete(m.links, address)
@@ -100,13 +101,13 @@
 	})
 }
 
-func (m *mates) set(address string, l *wire.Link) {
+func (m *gossiper) setLink(address string, l *wire.Link) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.links[address] = l
 }
 
-func (m *mates) beat() {
+func (m *gossiper) sendHeartbeats() {
 	m.mu.Lock()
 	links := lo.Values(m.links)
 	m.mu.Unlock()
@@ -117,47 +118,47 @@
 	}
 }
 
-func (m *mates) heartbeat() *proto.Heartbeat {
+func (m *gossiper) heartbeat() *proto.Heartbeat {
 	return &proto.Heartbeat{Revision: m.e.config.Document().Revision}
 }
 
-// accept serves the link of another entry that dialled this one.
-func (m *mates) accept(l *wire.Link) {
+// accept serves a link dialled by another entry.
+func (m *gossiper) accept(l *wire.Link) {
 	_ = l.Receive(func(f *proto.Frame) { m.receive(l, f) })
 }
 
-func (m *mates) receive(l *wire.Link, f *proto.Frame) {
+func (m *gossiper) receive(l *wire.Link, f *proto.Frame) {
 	switch {
 	case f.Heartbeat != nil:
-		m.compare(l, f.Heartbeat.Revision)
+		m.requestIfBehind(l, f.Heartbeat.Revision)
 		_ = l.Send(&proto.Frame{Report: &proto.Report{Revision: m.e.config.Document().Revision}})
 	case f.Report != nil:
-		m.compare(l, f.Report.Revision)
+		m.requestIfBehind(l, f.Report.Revision)
 	case f.ConfigAsk != nil:
 		config.Answer(m.e.config, l, f.ConfigAsk)
 	case f.Config != nil:
 		if err := config.Take(m.e.config, f.Config); err != nil {
-			m.e.log.Warn("configuration not taken", "peer", l.Peer.ID, "error", err)
+			m.e.log.Warn("failed to apply configuration", "peer", l.Peer.ID, "error", err)
 		}
 	}
 }
 
-func (m *mates) compare(l *wire.Link, revision uint64) {
+func (m *gossiper) requestIfBehind(l *wire.Link, revision uint64) {
 	m.mu.Lock()
-	m.held[l.Peer.ID] = revision
+	m.heldRevisions[l.Peer.ID] = revision
 	m.mu.Unlock()
 	if have := m.e.config.Document().Revision; revision > have {
 		_ = l.Send(&proto.Frame{ConfigAsk: &proto.ConfigAsk{Have: have}})
 	}
 }
 
-func (m *mates) revisions() map[string]uint64 {
+func (m *gossiper) revisions() map[string]uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return lo.Assign(m.held)
+	return lo.Assign(m.heldRevisions)
 }
 
-func (m *mates) close() {
+func (m *gossiper) close() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for _, l := range m.links {
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -23,7 +23,7 @@
 	changeTimeout = 10 * time.Second
 )
 
-// ChangeRequest is an operator's change against a revision; ID makes a repeat of it harmless.
+// ChangeRequest is an operator's change against a base revision; the ID makes retries idempotent.
 type ChangeRequest struct {
 	ID   string      `json:"id" validate:"required,max=128"`
 	Base uint64      `json:"base"`
@@ -32,7 +32,8 @@
 	Ops  []config.Op `json:"ops" validate:"min=1,dive"`
 }
 
-// ChangeReply tells what became of a change; exactly one of its parts besides the revision is set when it was not accepted.
+// ChangeReply is the result of a change; at most one of Unsure, Findings and Others is set, and
+// none if it was accepted.
 type ChangeReply struct {
 	Accepted bool                `json:"accepted"`
 	Revision uint64              `json:"revision"`
@@ -52,17 +53,17 @@
 	app.Get("/readyz", e.ready)
 	app.Get("/debug/vars", adaptor.HTTPHandler(expvar.Handler()))
 	app.Get("/link", func(c fiber.Ctx) error {
-		return wire.Accept(c.RequestCtx(), e.self, []byte(e.cfg.LinkKey), e.mates.accept)
+		return wire.Accept(c.RequestCtx(), e.self, []byte(e.cfg.LinkKey), e.gossip.accept)
 	})
-	op := app.Group(operatorBase, e.operatorOnly)
+	op := app.Group(operatorBase, e.requireOperatorKey)
 	op.Get("/config", func(c fiber.Ctx) error { return c.JSON(e.config.Document()) })
 	op.Get("/audit", e.audit)
 	op.Get("/status", func(c fiber.Ctx) error { return c.JSON(e.status()) })
-	op.Post("/change", e.takeChange)
+	op.Post("/change", e.postChange)
 	return app
 }
 
-func (e *Entry) operatorOnly(c fiber.Ctx) error {
+func (e *Entry) requireOperatorKey(c fiber.Ctx) error {
 	token, _ := strings.CutPrefix(c.Get(fiber.HeaderAuthorization), "Bearer ")
 	if subtle.ConstantTimeCompare([]byte(token), []byte(e.cfg.OperatorKey)) != 1 {
 		return c.Status(fiber.StatusUnauthorized).JSON(ChangeReply{Detail: "the operator key is wrong"})
@@ -75,31 +76,31 @@
 	if err != nil {
 		return c.Status(fiber.StatusBadRequest).JSON(ChangeReply{Detail: "since must be a revision number"})
 	}
-	records, err := e.change.audit(c.Context(), first)
+	records, err := e.configWriter.audit(c.Context(), first)
 	if err != nil {
 		return c.Status(fiber.StatusServiceUnavailable).JSON(ChangeReply{Detail: err.Error()})
 	}
 	return c.JSON(records)
 }
 
-func (e *Entry) takeChange(c fiber.Ctx) error {
+func (e *Entry) postChange(c fiber.Ctx) error {
 	var req ChangeRequest
 	if err := setup.Parse("change", c.Body(), &req); err != nil {
-		return c.Status(fiber.StatusBadRequest).JSON(changeError(err))
+		return c.Status(fiber.StatusBadRequest).JSON(changeErrorReply(err))
 	}
 	ctx, cancel := context.WithTimeout(e.ctx, changeTimeout)
 	defer cancel()
-	revision, err := e.change.change(ctx, req.Base, config.Record{
+	revision, err := e.configWriter.apply(ctx, req.Base, config.Record{
 		ID:   req.ID,
 		Who:  req.Who,
 		Note: req.Note,
 		Ops:  req.Ops,
 	})
 	if err != nil {
-		e.log.Info("change not accepted", "change", req.ID, "who", req.Who, "error", err)
-		return c.Status(changeStatus(err)).JSON(changeError(err))
+		e.log.Info("configuration change not accepted", "change", req.ID, "who", req.Who, "error", err)
+		return c.Status(changeStatus(err)).JSON(changeErrorReply(err))
 	}
-	e.log.Info("change accepted", "change", req.ID, "who", req.Who, "revision", revision)
+	e.log.Info("configuration change accepted", "change", req.ID, "who", req.Who, "revision", revision)
 	return c.JSON(ChangeReply{
 		Accepted: true,
 		Revision: revision,
@@ -121,7 +122,7 @@
 	return fiber.StatusServiceUnavailable
 }
 
-func changeError(err error) ChangeReply {
+func changeErrorReply(err error) ChangeReply {
 	reply := ChangeReply{Detail: err.Error()}
 	var lost *config.ConflictError
 	var invalid *config.InvalidError
--- a/entry/peerlink.go
+++ b/entry/peerlink.go
@@ -11,8 +11,8 @@
 
 func (p *peer) dialLoop(ctx context.Context) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = dialFirst
-	wait.MaxInterval = dialLongest
+	wait.InitialInterval = minDialBackoff
+	wait.MaxInterval = maxDialBackoff
 	for ctx.Err() == nil {
 		l, err := wire.Dial(p.dialAddress(), p.e.self, []byte(p.e.cfg.LinkKey))
 		if err == nil {
@@ -37,14 +37,15 @@
 	return p.address
 }
 
-// present returns the link as it is now, nil while there is none.
-func (p *peer) present() *wire.Link {
+// currentLink returns the link, or nil while disconnected.
+func (p *peer) currentLink() *wire.Link {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.link
 }
 
-// connected resumes what is open on the agent's present incarnation and gives up what was open on an earlier one.
+// connected resumes attempts that are open on the same agent incarnation and marks those of an
+// earlier incarnation as lost.
 func (p *peer) connected(l *wire.Link) {
 	p.mu.Lock()
 	old := p.incarnation
@@ -54,7 +55,7 @@
 		p.report = nil
 		p.drainSent = false
 	}
-	open := p.open()
+	open := p.openAttempts()
 	p.mu.Unlock()
 	p.e.log.Debug("agent link up", "agent", p.id, "resumed", len(open))
 	first := p.heartbeat()
@@ -62,7 +63,7 @@
 	_ = l.Send(&proto.Frame{Heartbeat: first})
 	for _, a := range open {
 		if old != l.Peer.Incarnation {
-			a.lose()
+			a.markLost()
 			continue
 		}
 		_ = l.Send(&proto.Frame{Resume: &proto.Resume{
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -17,18 +17,18 @@
 )
 
 const (
-	listEvery   = time.Second
-	listTimeout = time.Second
-	flushTime   = 500 * time.Millisecond
+	listInterval = time.Second
+	listTimeout  = time.Second
+	flushTimeout = 500 * time.Millisecond
 )
 
 // Lister reads the platform's instance list.
 type Lister interface {
-	// List returns all rows or an error when the list can't be read.
+	// List returns all instances, or an error if the list cannot be read.
 	List(ctx context.Context) ([]core.Instance, error)
 }
 
-// HTTPLister reads the list as JSON from GET /instances.
+// HTTPLister reads the instance list as JSON from GET /instances at Address, a host:port pair.
 type HTTPLister struct {
 	Address string
 }
@@ -40,22 +40,22 @@
 		return nil, errs.Wrap(err)
 	}
 	if status != fasthttp.StatusOK {
-		return nil, errs.Errorf("instance list answered %d", status)
+		return nil, errs.Errorf("instance list request returned status %d", status)
 	}
 	var rows []core.Instance
 	return rows, errs.Wrap(json.Unmarshal(body, &rows))
 }
 
-// peers holds the agents that this entry is linked to.
+// peers manages the agents that this entry is linked to.
 type peers struct {
 	e *Entry
 
-	mu       sync.RWMutex
-	byID     map[string]*peer
-	services map[string][]*peer
-	kinds    map[string]core.Kind
-	rows     []core.Instance
-	links    atomic.Int64
+	mu        sync.RWMutex
+	byID      map[string]*peer
+	services  map[string][]*peer
+	kinds     map[string]core.Kind
+	instances []core.Instance
+	links     atomic.Int64
 }
 
 func newPeers(e *Entry) *peers {
@@ -67,13 +67,13 @@
 	}
 }
 
-func (e *Entry) watchList(ctx context.Context) {
-	t := e.clock.NewTicker(listEvery)
+func (e *Entry) pollInstances(ctx context.Context) {
+	t := e.clock.NewTicker(listInterval)
 	defer t.Stop()
 	for {
-		rows, err := e.list.List(ctx)
+		rows, err := e.lister.List(ctx)
 		if err != nil {
-			e.log.Warn("instance list not read", "error", err)
+			e.log.Warn("failed to read instance list", "error", err)
 		} else {
 			e.peers.update(rows)
 		}
@@ -89,13 +89,14 @@
 	return in.Kind != core.KindEntry
 }
 
-// update links to new rows and drops a row that is gone once nothing is open there and its link is down: a live link outranks the list.
+// update links to newly listed instances. It drops an unlisted instance only once its link is down
+// and no attempt is open, because a live link outranks the list.
 func (ps *peers) update(rows []core.Instance) {
 	upstreams := lo.Filter(rows, isUpstream)
 	chosen := route.Subset(ps.e.cfg.ID, ps.e.cfg.Domain, upstreams, ps.e.cfg.MaxLinks)
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	ps.rows = rows
+	ps.instances = rows
 	for _, in := range upstreams {
 		ps.kinds[in.Service] = in.Kind
 	}
@@ -135,14 +136,14 @@
 	return p.link == nil && len(p.attempts) == 0
 }
 
-// pace is the time between two heartbeats on each link.
-func (ps *peers) pace() time.Duration {
-	return max(heartbeatEvery, heartbeatEvery*time.Duration(ps.links.Load())/heartbeatLinks)
+// heartbeatInterval returns the time between heartbeats on each link.
+func (ps *peers) heartbeatInterval() time.Duration {
+	return max(minHeartbeatInterval, minHeartbeatInterval*time.Duration(ps.links.Load())/fullRateHeartbeatLinks)
 }
 
-// stale is the silence after which an agent gets no new work.
-func (ps *peers) stale() time.Duration {
-	return staleBeats * ps.pace()
+// staleAfter returns the silence after which an agent gets no new work.
+func (ps *peers) staleAfter() time.Duration {
+	return staleHeartbeats * ps.heartbeatInterval()
 }
 
 func (ps *peers) kind(service string) (core.Kind, bool) {
@@ -152,7 +153,7 @@
 	return k, ok
 }
 
-func (ps *peers) of(service string) []*peer {
+func (ps *peers) forService(service string) []*peer {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
 	return slices.Clone(ps.services[service])
@@ -164,14 +165,15 @@
 	return ps.byID[id]
 }
 
-// reach returns the peer of any listed instance and links to it when it is outside the subset.
-func (ps *peers) reach(id string) *peer {
+// connect returns the peer of a listed instance, linking to it if it is outside the subset, or nil
+// if it is not listed.
+func (ps *peers) connect(id string) *peer {
 	if p := ps.get(id); p != nil {
 		return p
 	}
 	ps.mu.Lock()
 	defer ps.mu.Unlock()
-	in, ok := lo.Find(ps.rows, func(in core.Instance) bool { return in.ID == id })
+	in, ok := lo.Find(ps.instances, func(in core.Instance) bool { return in.ID == id })
 	if !ok || ps.byID[id] != nil {
 		return ps.byID[id]
 	}
@@ -180,13 +182,13 @@
 	return p
 }
 
-// reachService links to every listed instance of a service.
-func (ps *peers) reachService(service string) {
+// connectService links to every listed instance of a service.
+func (ps *peers) connectService(service string) {
 	ps.mu.RLock()
-	ids := lo.FilterMap(ps.rows, func(in core.Instance, _ int) (string, bool) { return in.ID, in.Service == service })
+	ids := lo.FilterMap(ps.instances, func(in core.Instance, _ int) (string, bool) { return in.ID, in.Service == service })
 	ps.mu.RUnlock()
 	for _, id := range ids {
-		ps.reach(id)
+		ps.connect(id)
 	}
 }
 
@@ -205,14 +207,14 @@
 func (ps *peers) entries() []core.Instance {
 	ps.mu.RLock()
 	defer ps.mu.RUnlock()
-	return lo.Filter(ps.rows, func(in core.Instance, _ int) bool { return in.Kind == core.KindEntry })
+	return lo.Filter(ps.instances, func(in core.Instance, _ int) bool { return in.Kind == core.KindEntry })
 }
 
-// flush lets the last acknowledgements reach the agents.
+// flush waits up to flushTimeout per link for the last acknowledgements to be sent.
 func (ps *peers) flush() {
 	for _, p := range ps.list() {
-		if l := p.present(); l != nil {
-			l.Flush(flushTime)
+		if l := p.currentLink(); l != nil {
+			l.Flush(flushTimeout)
 		}
 	}
 }
--- a/entry/peeruse.go
+++ b/entry/peeruse.go
@@ -6,15 +6,15 @@
 	"geraniumpass/route"
 )
 
-// usable returns true when the agent may be given new work.
+// usable reports whether the agent can be given new work.
 func (p *peer) usable(drained map[string]bool) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.link != nil && p.report != nil && p.report.Healthy && !p.report.Leaving &&
-		!p.listLeaving && !drained[p.id] && p.link.Silence() < p.e.peers.stale()
+		!p.listedLeaving && !drained[p.id] && p.link.Silence() < p.e.peers.staleAfter()
 }
 
-func (p *peer) candidate(withins map[string]time.Duration) route.Candidate {
+func (p *peer) candidate(targets map[string]time.Duration) route.Candidate {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	c := route.Candidate{
@@ -24,13 +24,13 @@
 		InUse:      p.report.Running,
 		Limit:      p.report.Limit,
 		DrainRate:  p.report.Drain,
-		Unreported: p.own - p.ownAtReport,
-		InFlight:   p.own,
+		Unreported: p.ownCost - p.ownCostAtReport,
+		InFlight:   p.ownCost,
 		ReportAge:  p.e.clock.Since(p.reportAt),
 	}
 	for _, q := range p.report.Queued {
 		c.Queued = append(c.Queued, route.ClassCost{
-			LatencyTarget: withins[q.Class],
+			LatencyTarget: targets[q.Class],
 			Cost:          q.Cost,
 		})
 	}
--- a/entry/plain.go
+++ b/entry/plain.go
@@ -11,7 +11,7 @@
 )
 
 func (e *Entry) plain(c fiber.Ctx) error {
-	r, err := e.begin(c)
+	r, err := e.newRequest(c)
 	if err != nil {
 		return e.refuse(c, r, err)
 	}
@@ -21,15 +21,15 @@
 	}
 	r.path = plainPath(string(c.Request().RequestURI()), r.service)
 	r.idempotent = idempotent(c.Method())
-	r.key = c.Get(headerKey)
+	r.key = c.Get(headerIdempotencyKey)
 	if len(r.key) > maxKeyLength {
-		return e.refuse(c, r, core.NotRun(core.ReasonBadRequest, fmt.Sprintf("%s is longer than %d characters", headerKey, maxKeyLength)))
+		return e.refuse(c, r, core.NotRun(core.ReasonBadRequest, fmt.Sprintf("%s is longer than %d characters", headerIdempotencyKey, maxKeyLength)))
 	}
 	r.cost = 1
-	return e.answer(c, r)
+	return e.respond(c, r)
 }
 
-// plainPath is what follows the service's name in the target, query and all, as the caller wrote it.
+// plainPath returns the request target after the service name, including the query, unmodified.
 func plainPath(uri, service string) string {
 	rest := strings.TrimPrefix(uri, servicesPrefix+service)
 	if !strings.HasPrefix(rest, "/") {
@@ -38,7 +38,7 @@
 	return rest
 }
 
-// idempotent follows RFC 9110, section 9.2.2.
+// idempotent reports whether a method is idempotent according to RFC 9110, section 9.2.2.
 func idempotent(method string) bool {
 	switch method {
 	case fiber.MethodGet, fiber.MethodHead, fiber.MethodOptions, fiber.MethodPut, fiber.MethodDelete, fiber.MethodTrace:
--- a/entry/problem.go
+++ b/entry/problem.go
@@ -25,8 +25,8 @@
 	RequestID string       `json:"request_id,omitempty"`
 }
 
-// statuses gives the HTTP status of each reason; the others are 503.
-var statuses = map[core.Reason]int{
+// statusByReason maps refusal reasons to HTTP statuses; reasons not listed map to 503.
+var statusByReason = map[core.Reason]int{
 	core.ReasonBadRequest:       fiber.StatusBadRequest,
 	core.ReasonUnauthorized:     fiber.StatusUnauthorized,
 	core.ReasonNoService:        fiber.StatusNotFound,
@@ -43,7 +43,7 @@
 }
 
 func problemOf(r *core.Refusal, id string) Problem {
-	status, ok := statuses[r.Reason]
+	status, ok := statusByReason[r.Reason]
 	if !ok {
 		status = fiber.StatusServiceUnavailable
 	}
--- a/entry/request.go
+++ b/entry/request.go
@@ -8,7 +8,7 @@
 	"geraniumpass/proto"
 )
 
-// request is one caller's request from its admission to its answer.
+// request is the state of a caller's request from admission to answer.
 type request struct {
 	id         string
 	account    string
@@ -21,31 +21,31 @@
 	stream     bool
 	idempotent bool
 	key        string
-	started    time.Time
+	startedAt  time.Time
 	deadline   time.Time
 	cost       float64
-	prefix     uint64
+	prefixHash uint64
 
-	// delivered counts the events of a stream that the caller has been given.
+	// delivered counts the stream events delivered to the caller.
 	delivered uint32
 	headSent  bool
 	status    int
-	// events is true when the head that the caller has been given announces events.
-	events bool
-	// tried names the agents that refused or lost the request.
+	// isEventStream is set if the head delivered to the caller announces an event stream.
+	isEventStream bool
+	// tried holds the IDs of agents that refused or lost the request.
 	tried map[string]bool
-	// sent is true once an attempt left for an agent that did not surely refuse it.
-	sent     bool
-	answered time.Time
-	domain   string
+	// mayHaveRun is set once an attempt ended without proof that it did not run.
+	mayHaveRun  bool
+	firstDataAt time.Time
+	domain      string
 }
 
-// due is the moment by which the class's target wants the request answered.
-func (r *request) due() time.Time {
-	return r.started.Add(r.class.Target.Within.Duration)
+// targetDeadline returns the time by which the class's target requires an answer.
+func (r *request) targetDeadline() time.Time {
+	return r.startedAt.Add(r.class.Target.Within.Duration)
 }
 
-// dispatch returns the message of the next attempt.
+// dispatch returns the message for the next attempt.
 func (r *request) dispatch(now time.Time, sent time.Duration) *proto.Dispatch {
 	return &proto.Dispatch{
 		Request:    r.id,
@@ -58,7 +58,7 @@
 		Stream:     r.stream,
 		Idempotent: r.idempotent,
 		Remaining:  r.deadline.Sub(now),
-		TargetLeft: r.due().Sub(now),
+		TargetLeft: r.targetDeadline().Sub(now),
 		ResumeFrom: r.delivered,
 		Cost:       r.cost,
 		Within:     r.class.Target.Within.Duration,
@@ -66,32 +66,36 @@
 	}
 }
 
-// resumable returns true when another attempt may go on behind what the caller has: only events are told apart by their number.
+// resumable reports whether another attempt can continue the answer already delivered. Only event
+// streams can be resumed, since the position is a count of events.
 func (r *request) resumable() bool {
-	return r.stream && (!r.headSent || r.events)
+	return r.stream && (!r.headSent || r.isEventStream)
 }
 
-// sink is where an answer goes.
+// sink receives an answer.
 type sink interface {
-	// Head takes the status and the headers, once.
+	// Head receives the status and the headers; it is called once, or once more after each Reset.
 	Head(status int, headers []proto.Header) error
-	// Data takes the next piece of the body and fails with a *goneError when the caller went away.
+	// Data receives the next chunk of the body; it fails with a *callerGoneError if the caller
+	// disconnected.
 	Data(p []byte) error
-	// Reset forgets an answer that was begun and is made anew; it returns false when the caller has seen some of it.
+	// Reset discards a partial answer before a retry; it returns false if the caller may have
+	// received part of it.
 	Reset() bool
 }
 
-// goneError says that the caller went away.
-type goneError struct{}
+// callerGoneError indicates that the caller disconnected.
+type callerGoneError struct{}
 
-// Error says that the caller went away.
-func (*goneError) Error() string {
+// Error implements error.
+func (*callerGoneError) Error() string {
 	return "caller went away"
 }
 
-// refusal is the final answer of a request that is given up; it is not_run only when no attempt can have run.
+// refusal returns the final refusal of the request; its outcome is not_run only if no attempt can
+// have run.
 func (r *request) refusal(reason core.Reason, detail string) *core.Refusal {
-	if r.sent {
+	if r.mayHaveRun {
 		return core.Unknown(reason, detail)
 	}
 	return core.NotRun(reason, detail)
--- a/entry/resume_test.go
+++ b/entry/resume_test.go
@@ -10,9 +10,9 @@
 	"geraniumpass/proto"
 )
 
-// TestOnlyEventsAreResumedByEvents has a stream break off after two events and go on at another upstream with a head that says what
-// follows: only what goes on behind the second event may be joined to it.
-func TestOnlyEventsAreResumedByEvents(t *testing.T) {
+// TestResumeRequiresMatchingEventStream guards against joining an answer that does not continue
+// after the second event, when a stream breaks off there and is retried at another upstream.
+func TestResumeRequiresMatchingEventStream(t *testing.T) {
 	head := func(status int, headers ...string) *proto.Answer {
 		a := &proto.Answer{Status: status}
 		for i := 0; i < len(headers); i += 2 {
@@ -49,7 +49,7 @@
 				}
 			}
 			err := e.deliver(r, tt.second, out)
-			var busy *busyError
+			var busy *overloadedError
 			if tt.ok && err != nil || !tt.ok && !errors.As(err, &busy) {
 				t.Errorf("%v", err)
 			}
@@ -57,12 +57,13 @@
 	}
 }
 
-// TestCallersDoNotSayWhereAStreamGoesOn has a caller send the header by which entries tell engines what has been delivered.
-func TestCallersDoNotSayWhereAStreamGoesOn(t *testing.T) {
+// TestResumeHeaderFromCallerIsDropped guards against forwarding a caller's X-Resume-From header,
+// which would make engines skip events.
+func TestResumeHeaderFromCallerIsDropped(t *testing.T) {
 	app := fiber.New()
 	var got []proto.Header
 	app.Get("/", func(c fiber.Ctx) error {
-		got = proto.Headers(c.Request().Header.All(), skipped)
+		got = proto.Headers(c.Request().Header.All(), hopHeaders)
 		return nil
 	})
 	req := httptest.NewRequest(fiber.MethodGet, "/", nil)
@@ -73,6 +74,6 @@
 	}
 	_ = resp.Body.Close()
 	if v := headerOf(got, headerResume); v != "" {
-		t.Errorf("engines would begin at %q", v)
+		t.Errorf("caller's resume header was forwarded: %q", v)
 	}
 }
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -17,52 +17,53 @@
 )
 
 const (
-	maxAttempts   = 6
-	retryFirst    = 5 * time.Millisecond
-	retryLongest  = 200 * time.Millisecond
-	overloadHops  = 2
-	statusTooMany = 429
-	statusBusy    = 503
+	maxAttempts           = 6
+	minRetryBackoff       = 5 * time.Millisecond
+	maxRetryBackoff       = 200 * time.Millisecond
+	maxOverloadRetries    = 2
+	statusTooManyRequests = 429
+	statusUnavailable     = 503
 )
 
-// outcome is how one attempt ended.
+// outcome is the result of one attempt.
 type outcome uint8
 
 const (
-	// attemptWhole means that the sink has the whole answer.
-	attemptWhole outcome = iota + 1
-	// attemptNotRun means that the agent proved that it did not run.
+	// attemptComplete means that the sink received the complete answer.
+	attemptComplete outcome = iota + 1
+	// attemptNotRun means that the request provably did not run.
 	attemptNotRun
-	// attemptLost means that it may have run and its answer can't be had.
+	// attemptLost means that the request may have run and its answer is unavailable.
 	attemptLost
-	// attemptEnded means that the request itself is over: deadline, or the caller is gone.
-	attemptEnded
+	// attemptTerminal means that the request ended: its deadline passed or the caller disconnected.
+	attemptTerminal
 )
 
-// attemptResult is how one attempt ended and what the caller is told if no other is made.
+// attemptResult is the result of one attempt, with the details for a refusal if there is no retry.
 type attemptResult struct {
-	outcome outcome
-	reason  core.Reason
-	after   time.Duration
-	err     error
-	// movable is set when the agent has closed the request's claim for good.
-	movable bool
+	outcome    outcome
+	reason     core.Reason
+	retryAfter time.Duration
+	err        error
+	// claimClosed is set if the agent closed the request's claim permanently.
+	claimClosed bool
 }
 
-// serve carries a request through as many attempts as its kind, deadline and budget allow and returns nil, a *core.Refusal or a *goneError.
+// serve makes attempts as idempotency, deadline and retry budget permit; it returns nil, a
+// *core.Refusal or a *callerGoneError.
 func (e *Entry) serve(r *request, out sink) error {
-	e.budget.Earn(r.class.Name)
+	e.retryBudget.Earn(r.class.Name)
 	if r.key != "" && !r.idempotent {
 		return e.serveClaimed(r, out)
 	}
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = retryFirst
-	wait.MaxInterval = retryLongest
-	hops := 0
+	wait.InitialInterval = minRetryBackoff
+	wait.MaxInterval = maxRetryBackoff
+	overloadRetries := 0
 	for try := 1; ; try++ {
 		p, err := e.pick(r)
 		if err != nil {
-			if r.sent || !e.mayWait(r, try) {
+			if r.mayHaveRun || !e.canWaitForUpstream(r, try) {
 				return err
 			}
 			e.clock.Sleep(wait.NextBackOff())
@@ -70,24 +71,24 @@
 		}
 		res := e.try(r, p, r.dispatch(e.clock.Now(), e.sinceStart()), out)
 		switch res.outcome {
-		case attemptWhole:
+		case attemptComplete:
 			return nil
-		case attemptEnded:
+		case attemptTerminal:
 			return res.err
 		case attemptLost:
-			r.sent = true
+			r.mayHaveRun = true
 			if !r.idempotent || !out.Reset() && !r.resumable() {
 				return core.Unknown(res.reason, "the upstream was lost while the request may have been running")
 			}
 		case attemptNotRun:
 			if overloaded(res.reason) {
-				hops++
+				overloadRetries++
 			}
 		}
 		e.log.Debug("attempt failed", "request", r.id, "agent", p.id, "reason", res.reason, "delivered", r.delivered)
 		r.tried[p.id] = true
-		if hops > overloadHops || try >= maxAttempts || !e.budget.Spend(r.class.Name) {
-			return e.giveUp(r, res)
+		if overloadRetries > maxOverloadRetries || try >= maxAttempts || !e.retryBudget.Spend(r.class.Name) {
+			return e.exhausted(r, res)
 		}
 		e.clock.Sleep(wait.NextBackOff())
 	}
@@ -97,58 +98,59 @@
 	return reason == core.ReasonTargetMissed || reason == core.ReasonOverload
 }
 
-// mayWait allows a request that was sent nowhere to wait a little for an upstream to come back.
-func (e *Entry) mayWait(r *request, try int) bool {
-	return try < maxAttempts && e.clock.Now().Before(r.due()) && e.clock.Now().Before(r.deadline) && !e.stopping.Load()
+// canWaitForUpstream reports whether a request that has not been dispatched may wait for an
+// upstream to become available.
+func (e *Entry) canWaitForUpstream(r *request, try int) bool {
+	return try < maxAttempts && e.clock.Now().Before(r.targetDeadline()) && e.clock.Now().Before(r.deadline) && !e.stopping.Load()
 }
 
-func (e *Entry) giveUp(r *request, res attemptResult) error {
+func (e *Entry) exhausted(r *request, res attemptResult) error {
 	refusal := r.refusal(res.reason, "no upstream took the request")
-	refusal.RetryAfter = retry.After(res.after, random())
+	refusal.RetryAfter = retry.After(res.retryAfter, newRand())
 	return refusal
 }
 
-// pick chooses an agent, or refuses the request when its target would be missed anyway.
+// pick selects an agent, or refuses the request if its target would be missed.
 func (e *Entry) pick(r *request) (*peer, error) {
 	doc := e.config.Document()
 	drained := lo.SliceToMap(doc.Drained, func(id string) (string, bool) { return id, true })
-	withins := make(map[string]time.Duration, len(doc.Classes))
+	targets := make(map[string]time.Duration, len(doc.Classes))
 	for _, c := range doc.Classes {
-		withins[c.Name] = c.Target.Within.Duration
+		targets[c.Name] = c.Target.Within.Duration
 	}
-	usable := lo.Filter(e.peers.of(r.service), func(p *peer, _ int) bool { return p.usable(drained) })
-	fresh := lo.Reject(usable, func(p *peer, _ int) bool { return r.tried[p.id] })
-	if len(fresh) > 0 {
-		usable = fresh
+	usable := lo.Filter(e.peers.forService(r.service), func(p *peer, _ int) bool { return p.usable(drained) })
+	untried := lo.Reject(usable, func(p *peer, _ int) bool { return r.tried[p.id] })
+	if len(untried) > 0 {
+		usable = untried
 	}
 	candidates := make([]route.Candidate, 0, len(usable))
 	for _, p := range usable {
-		candidates = append(candidates, p.candidate(withins))
+		candidates = append(candidates, p.candidate(targets))
 	}
 	picker := route.Picker{
 		Domain: e.cfg.Domain,
-		Random: random(),
+		Random: newRand(),
 	}
 	choice, ok := picker.Pick(candidates, route.Request{
 		LatencyTarget: r.class.Target.Within.Duration,
-		Prefix:        r.prefix,
+		Prefix:        r.prefixHash,
 	})
 	if !ok {
 		refusal := r.refusal(core.ReasonNoUpstream, "no upstream of service "+r.service+" can be reached")
-		refusal.RetryAfter = retry.After(0, random())
+		refusal.RetryAfter = retry.After(0, newRand())
 		return nil, refusal
 	}
-	if !r.sent && len(r.tried) == 0 && choice.Wait > time.Duration(float64(r.due().Sub(e.clock.Now()))*queue.Headroom) {
+	if !r.mayHaveRun && len(r.tried) == 0 && choice.Wait > time.Duration(float64(r.targetDeadline().Sub(e.clock.Now()))*queue.Headroom) {
 		refusal := core.NotRun(core.ReasonTargetMissed, "the class's target would be missed")
-		refusal.RetryAfter = retry.After(choice.Wait, random())
+		refusal.RetryAfter = retry.After(choice.Wait, newRand())
 		return nil, refusal
 	}
 	return usable[choice.Index], nil
 }
 
-// try makes one attempt at an agent and follows it to its end.
+// try makes one attempt at an agent and waits for its result.
 func (e *Entry) try(r *request, p *peer, d *proto.Dispatch, out sink) attemptResult {
-	a := p.send(d)
+	a := p.dispatch(d)
 	if a == nil {
 		return attemptResult{
 			outcome: attemptNotRun,
@@ -156,13 +158,14 @@
 		}
 	}
 	r.domain = p.domain
-	res := e.follow(r, a, out)
-	p.close(a, res.outcome != attemptWhole && res.outcome != attemptNotRun)
+	res := e.awaitAnswer(r, a, out)
+	p.closeAttempt(a, res.outcome != attemptComplete && res.outcome != attemptNotRun)
 	return res
 }
 
-// follow waits for an attempt's parts and hands them to the sink until it ends.
-func (e *Entry) follow(r *request, a *attempt, out sink) attemptResult {
+// awaitAnswer passes the parts of an attempt to the sink until the attempt ends or the request's
+// deadline passes.
+func (e *Entry) awaitAnswer(r *request, a *attempt, out sink) attemptResult {
 	timer := e.clock.NewTimer(r.deadline.Sub(e.clock.Now()))
 	defer timer.Stop()
 	for {
@@ -170,13 +173,13 @@
 		case <-a.wake:
 		case <-timer.Chan():
 			return attemptResult{
-				outcome: attemptEnded,
+				outcome: attemptTerminal,
 				err:     core.Unknown(core.ReasonDeadline, "the deadline passed while the request was with an upstream"),
 			}
 		}
-		got := a.take()
+		got := a.collect()
 		for _, p := range got.parts {
-			if res, ended := e.part(r, a, p, out); ended {
+			if res, ended := e.handlePart(r, a, p, out); ended {
 				return res
 			}
 		}
@@ -184,7 +187,7 @@
 			a.peer.ack(a, got.ack)
 		}
 		if got.refused != nil {
-			return refused(got.refused)
+			return refusedResult(got.refused)
 		}
 		if got.lost {
 			return attemptResult{
@@ -195,12 +198,12 @@
 	}
 }
 
-func refused(f *proto.Refused) attemptResult {
+func refusedResult(f *proto.Refused) attemptResult {
 	res := attemptResult{
-		outcome: attemptNotRun,
-		reason:  f.Reason,
-		after:   f.RetryAfter,
-		movable: f.ClaimClosed,
+		outcome:     attemptNotRun,
+		reason:      f.Reason,
+		retryAfter:  f.RetryAfter,
+		claimClosed: f.ClaimClosed,
 	}
 	if f.Outcome != core.OutcomeNotRun {
 		res.outcome = attemptLost
@@ -208,30 +211,30 @@
 	return res
 }
 
-// part hands one part on and says how the attempt ended, if it did.
-func (e *Entry) part(r *request, a *attempt, p *proto.Answer, out sink) (attemptResult, bool) {
+// handlePart delivers one part and returns the attempt's result and true if it ends the attempt.
+func (e *Entry) handlePart(r *request, a *attempt, p *proto.Answer, out sink) (attemptResult, bool) {
 	if p.Failed != "" {
 		return attemptResult{
 			outcome: attemptLost,
 			reason:  p.Failed,
 		}, true
 	}
-	if r.answered.IsZero() && (len(p.Data) > 0 || p.Last) {
-		r.answered = e.clock.Now()
+	if r.firstDataAt.IsZero() && (len(p.Data) > 0 || p.Last) {
+		r.firstDataAt = e.clock.Now()
 	}
 	if err := e.deliver(r, p, out); err != nil {
-		return ended(err), true
+		return errorResult(err), true
 	}
 	if !p.Last {
 		return attemptResult{}, false
 	}
-	check.Hold(check.WholeAnswer, a.wholeWith(p), "request %s ends at part %d of an answer that is not whole", r.id, p.Seq)
+	check.Assert(check.WholeAnswer, a.completeWith(p), "request %s completed at part %d with an incomplete answer", r.id, p.Seq)
 	a.peer.ack(a, p.Seq+1)
-	return attemptResult{outcome: attemptWhole}, true
+	return attemptResult{outcome: attemptComplete}, true
 }
 
-func ended(err error) attemptResult {
-	var busy *busyError
+func errorResult(err error) attemptResult {
+	var busy *overloadedError
 	if errors.As(err, &busy) {
 		return attemptResult{
 			outcome: attemptLost,
@@ -239,30 +242,31 @@
 		}
 	}
 	return attemptResult{
-		outcome: attemptEnded,
+		outcome: attemptTerminal,
 		err:     err,
 	}
 }
 
-// busyError is an upstream's answer that it is overloaded, which a repeat elsewhere may better.
-type busyError struct{}
+// overloadedError indicates that the upstream reported overload, so that a retry at another one may
+// succeed.
+type overloadedError struct{}
 
-// Error says that the upstream is overloaded.
-func (*busyError) Error() string {
+// Error implements error.
+func (*overloadedError) Error() string {
 	return "upstream is overloaded"
 }
 
 func (e *Entry) deliver(r *request, p *proto.Answer, out sink) error {
 	if p.Status != 0 {
-		if (p.Status == statusBusy || p.Status == statusTooMany) && r.idempotent && len(r.tried) == 0 {
-			return &busyError{}
+		if (p.Status == statusUnavailable || p.Status == statusTooManyRequests) && r.idempotent && len(r.tried) == 0 {
+			return &overloadedError{}
 		}
 		if r.headSent && r.stream {
-			return resumedHead(r, p)
+			return checkResumedHead(r, p)
 		}
 		r.headSent = true
 		r.status = p.Status
-		r.events = isEvents(p.Headers)
+		r.isEventStream = isEvents(p.Headers)
 		return out.Head(p.Status, p.Headers)
 	}
 	if len(p.Data) == 0 {
@@ -274,18 +278,19 @@
 	return out.Data(p.Data)
 }
 
-// resumedHead refuses all that isn't the rest of the stream that the caller has begun to read: an upstream's error, another body, and an
-// upstream that doesn't say that it goes on where the last one broke off and would begin anew.
-func resumedHead(r *request, p *proto.Answer) error {
-	goesOn := r.delivered == 0 || headerOf(p.Headers, headerResume) == strconv.FormatUint(uint64(r.delivered), 10)
-	if !r.events || p.Status != r.status || !isEvents(p.Headers) || !goesOn {
-		return &busyError{}
+// checkResumedHead rejects any head that does not continue the event stream the caller is reading:
+// a different status, another content type, or a resume position other than the number of events
+// delivered. Without a position the upstream would restart the stream from the beginning.
+func checkResumedHead(r *request, p *proto.Answer) error {
+	resumes := r.delivered == 0 || headerOf(p.Headers, headerResume) == strconv.FormatUint(uint64(r.delivered), 10)
+	if !r.isEventStream || p.Status != r.status || !isEvents(p.Headers) || !resumes {
+		return &overloadedError{}
 	}
 	return nil
 }
 
-func (a *attempt) wholeWith(p *proto.Answer) bool {
+func (a *attempt) completeWith(p *proto.Answer) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	return a.asm.Whole() && a.asm.Next() == p.Seq+1
+	return a.asm.Complete() && a.asm.Next() == p.Seq+1
 }
--- a/entry/sink.go
+++ b/entry/sink.go
@@ -7,9 +7,9 @@
 	"geraniumpass/proto"
 )
 
-const streamAhead = 64
+const streamBufferParts = 64
 
-// bufferSink keeps a whole answer until it is complete.
+// bufferSink buffers an answer until it is complete.
 type bufferSink struct {
 	status  int
 	headers []proto.Header
@@ -37,7 +37,7 @@
 	return true
 }
 
-// streamSink passes an answer on as it comes.
+// streamSink forwards an answer as it arrives.
 type streamSink struct {
 	head chan proto.Answer
 	data chan []byte
@@ -49,7 +49,7 @@
 func newStreamSink() *streamSink {
 	return &streamSink{
 		head: make(chan proto.Answer, 1),
-		data: make(chan []byte, streamAhead),
+		data: make(chan []byte, streamBufferParts),
 		gone: make(chan struct{}),
 	}
 }
@@ -69,7 +69,7 @@
 	case s.data <- p:
 		return nil
 	case <-s.gone:
-		return &goneError{}
+		return &callerGoneError{}
 	}
 }
 
@@ -78,28 +78,28 @@
 	return false
 }
 
-// end tells the writer that no more comes, and why when the answer is not whole.
-func (s *streamSink) end(err error) {
+// finish closes the stream; err is the reason if the answer is incomplete.
+func (s *streamSink) finish(err error) {
 	s.err = err
 	close(s.data)
 }
 
-func (s *streamSink) leave() {
+func (s *streamSink) markGone() {
 	s.once.Do(func() { close(s.gone) })
 }
 
 // copyTo writes the stream to the caller and returns the error that ended it early, or nil.
 func (s *streamSink) copyTo(w *bufio.Writer) error {
-	defer s.leave()
+	defer s.markGone()
 	for p := range s.data {
 		if _, err := w.Write(p); err != nil {
-			return &goneError{}
+			return &callerGoneError{}
 		}
 		if len(s.data) > 0 {
 			continue
 		}
 		if err := w.Flush(); err != nil {
-			return &goneError{}
+			return &callerGoneError{}
 		}
 	}
 	return s.err
--- a/entry/status.go
+++ b/entry/status.go
@@ -7,7 +7,7 @@
 	"geraniumpass/meter"
 )
 
-// Status is what an operator sees of one entry and of what it is linked to.
+// Status is an operator's view of one entry and its upstreams.
 type Status struct {
 	Entry     string            `json:"entry"`
 	Domain    string            `json:"domain"`
@@ -21,7 +21,7 @@
 	Entries   map[string]uint64 `json:"entries"`
 }
 
-// UpstreamStatus is one upstream as this entry sees it.
+// UpstreamStatus is the state of one upstream as seen by this entry.
 type UpstreamStatus struct {
 	ID       string    `json:"id"`
 	Service  string    `json:"service"`
@@ -38,7 +38,8 @@
 	Revision uint64    `json:"revision"`
 }
 
-// ClassStatus is one class with its target and whether the last minute met it.
+// ClassStatus is the state of one class; Met reports whether its target was met over the last
+// minute.
 type ClassStatus struct {
 	Class   string      `json:"class"`
 	Measure string      `json:"measure"`
@@ -48,7 +49,7 @@
 	Rows    []meter.Row `json:"rows"`
 }
 
-// GroupStatus is a rank group as far as this entry leads it.
+// GroupStatus is the state of a rank group as known to this entry as its leader or candidate.
 type GroupStatus struct {
 	Group   string  `json:"group"`
 	Leading bool    `json:"leading"`
@@ -66,8 +67,8 @@
 		Revision:  doc.Revision,
 		AgeMillis: e.config.Age().Milliseconds(),
 		Stopping:  e.stopping.Load(),
-		InFlight:  e.open.Load(),
-		Entries:   e.mates.revisions(),
+		InFlight:  e.inFlight.Load(),
+		Entries:   e.gossip.revisions(),
 		Groups:    e.groups.status(),
 	}
 	drained := make(map[string]bool, len(doc.Drained))
@@ -115,7 +116,7 @@
 		Domain:  p.domain,
 		Linked:  p.link != nil,
 		Usable:  usable,
-		Leaving: p.listLeaving,
+		Leaving: p.listedLeaving,
 	}
 	if p.report == nil {
 		return s
--- a/entry/sync.go
+++ b/entry/sync.go
@@ -13,16 +13,17 @@
 
 const (
 	configKey = "geraniumpass/config"
-	// pollEvery is how soon a watch that died without a word is found out.
-	pollEvery   = 4 * time.Second
-	syncFirst   = 100 * time.Millisecond
-	syncLongest = 2 * time.Second
+	// configPollInterval bounds how long a silently broken watch goes undetected.
+	configPollInterval = 4 * time.Second
+	minWatchBackoff    = 100 * time.Millisecond
+	maxWatchBackoff    = 2 * time.Second
 )
 
-// syncConfig keeps the newest accepted configuration here: by a watch, and by a slow poll that finds a silent watch out.
+// syncConfig keeps the configuration up to date by a watch, with a slow poll to detect a silently
+// broken watch.
 func (e *Entry) syncConfig(ctx context.Context) {
-	e.loops.Go(func() { e.watchConfig(ctx) })
-	t := e.clock.NewTicker(pollEvery)
+	e.background.Go(func() { e.watchConfig(ctx) })
+	t := e.clock.NewTicker(configPollInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -34,13 +35,14 @@
 	}
 }
 
-// pollConfig asks for the document's revision only: the document itself every few seconds would exceed an entry's traffic.
+// pollConfig reads only the document's revision: reading the document at every poll would exceed an
+// entry's traffic budget.
 func (e *Entry) pollConfig(ctx context.Context) {
 	v, err := e.store.Peek(ctx, configKey)
 	if err != nil {
 		return
 	}
-	if v.Modified == e.seen.Load() {
+	if v.Modified == e.configModRevision.Load() {
 		e.config.Confirm()
 		return
 	}
@@ -49,13 +51,13 @@
 
 func (e *Entry) watchConfig(ctx context.Context) {
 	wait := backoff.NewExponentialBackOff()
-	wait.InitialInterval = syncFirst
-	wait.MaxInterval = syncLongest
+	wait.InitialInterval = minWatchBackoff
+	wait.MaxInterval = maxWatchBackoff
 	for ctx.Err() == nil {
 		v, err := e.readConfig(ctx)
 		if err == nil {
 			wait.Reset()
-			err = e.store.Watch(ctx, configKey, v.Modified, func(v store.Value) { e.takeConfig(v) })
+			err = e.store.Watch(ctx, configKey, v.Modified, func(v store.Value) { e.applyConfig(v) })
 		}
 		e.log.Debug("configuration watch ended", "error", err)
 		select {
@@ -68,24 +70,25 @@
 func (e *Entry) readConfig(ctx context.Context) (store.Value, error) {
 	v, err := e.store.Get(ctx, configKey)
 	if err == nil {
-		e.takeConfig(v)
+		e.applyConfig(v)
 	}
 	return v, err
 }
 
-// takeConfig offers what the service holds; an event that comes late is older than what is held and changes nothing.
-func (e *Entry) takeConfig(v store.Value) {
+// applyConfig offers a stored document to the holder, which ignores documents older than its own,
+// such as delayed watch events.
+func (e *Entry) applyConfig(v store.Value) {
 	if v.Modified == 0 {
 		return
 	}
 	doc := &config.Document{}
 	if err := json.Unmarshal(v.Data, doc); err != nil {
-		e.log.Error("configuration not readable", "error", err)
+		e.log.Error("failed to decode configuration", "error", err)
 		return
 	}
-	e.seen.Store(max(e.seen.Load(), v.Modified))
+	e.configModRevision.Store(max(e.configModRevision.Load(), v.Modified))
 	if e.config.Offer(doc) {
-		e.log.Info("configuration in force", "revision", doc.Revision)
+		e.log.Info("configuration applied", "revision", doc.Revision)
 	}
 	if doc.Revision >= e.config.Document().Revision {
 		e.config.Confirm()
--- a/epmap/inquiry.go
+++ b/epmap/inquiry.go
@@ -17,7 +17,7 @@
 	if l.contradictory() {
 		// The answers are of different times, which happens when an agent lost its fence between them: ask again.
 		l.doubts++
-		check.Hold(check.OneMap, l.doubts < maxDoubts, "ranks still contradict each other after %d inquiries: %+v", l.doubts, l.Ranks)
+		check.Assert(check.OneMap, l.doubts < maxDoubts, "ranks still contradict each other after %d inquiries: %+v", l.doubts, l.Ranks)
 		l.enter(PhaseInquire)
 		return
 	}
--- a/gate/exchange.go
+++ b/gate/exchange.go
@@ -169,7 +169,7 @@
 		r.permit.Cancel(r.g.clock.Now())
 		return verdictNotSent, 0
 	}
-	check.Hold(check.AtMostOnce, r.sends == 0 || r.route.Repeatable() || !r.mayHaveRun, "request %s sent again although it may have run", r.call.ID)
+	check.Assert(check.AtMostOnce, r.sends == 0 || r.route.Repeatable() || !r.mayHaveRun, "request %s sent again although it may have run", r.call.ID)
 	a := &attempt{
 		r:        r,
 		instance: in,
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -89,7 +89,7 @@
 	if r == nil || r.state == StateRefused {
 		return false
 	}
-	check.Hold(check.AtMostOnce, r.state == StateQueued && r.starts == 0, "attempt %s starts in state %d after %d starts", k, r.state, r.starts)
+	check.Assert(check.AtMostOnce, r.state == StateQueued && r.starts == 0, "attempt %s starts in state %d after %d starts", k, r.state, r.starts)
 	if r.state != StateQueued {
 		return false
 	}
@@ -108,7 +108,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.record(k); r != nil {
-		check.Hold(check.NotRunTrue, r.state != StateRefused, "attempt %s finishes after it was refused", k)
+		check.Assert(check.NotRunNeverRan, r.state != StateRefused, "attempt %s finishes after it was refused", k)
 		r.state = StateDone
 	}
 }
@@ -153,7 +153,7 @@
 	case r.state != StateQueued || r.attached:
 		return false
 	}
-	check.Hold(check.NotRunTrue, r.starts == 0, "attempt %s is refused after %d starts", k, r.starts)
+	check.Assert(check.NotRunNeverRan, r.starts == 0, "attempt %s is refused after %d starts", k, r.starts)
 	r.state = StateRefused
 	l.refuseClaim(r.claimKey, k)
 	return true
--- a/start/gateway.go
+++ b/start/gateway.go
@@ -63,7 +63,7 @@
 
 // process provides what every role of the platform needs: clock, log, memory limit.
 func process(l setup.Log, limits setup.Limits) (do.Injector, func()) {
-	check.FromEnvironment()
+	check.ConfigureFromEnvironment()
 	if limits.MemoryMB > 0 {
 		debug.SetMemoryLimit(int64(float64(limits.MemoryMB<<20) * memoryShare))
 	}
@@ -278,7 +278,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), g.cfg.Grace.Duration-g.clock.Since(started)-stopReserve)
 	defer cancel()
 	err := g.front.Shutdown(ctx)
-	check.Hold(check.GracefulStop, err != nil || g.gate.InFlight() == 0, "%d requests in flight", g.gate.InFlight())
+	check.Assert(check.GracefulStop, err != nil || g.gate.InFlight() == 0, "%d requests in flight", g.gate.InFlight())
 	g.log.Info("stopped", "after", g.clock.Since(started).String(), "in_flight", g.gate.InFlight(), "error", err)
 	return nil
 }
--- a/start/role.go
+++ b/start/role.go
@@ -71,7 +71,7 @@
 }
 
 func base(cfg setup.Log) do.Injector {
-	check.FromEnvironment()
+	check.ConfigureFromEnvironment()
 	return provide(cfg, hclog.DefaultOutput)
 }
 
--- a/view/keeper.go
+++ b/view/keeper.go
@@ -243,7 +243,7 @@
 		Paces:     v.paces,
 	}).index()
 	forward := s.Rev >= old.Rev && (old.Table == nil || s.Table != nil && s.Table.Version >= old.Table.Version)
-	check.Hold(check.ConfigForward, forward, "snapshot of revision %d follows revision %d", s.Rev, old.Rev)
+	check.Assert(check.ConfigMonotonic, forward, "snapshot of revision %d follows revision %d", s.Rev, old.Rev)
 	v.current.Store(s)
 	close(v.changed)
 	v.changed = make(chan struct{})
