--- a/proof/bench_test.go
+++ b/proof/bench_test.go
@@ -12,11 +12,12 @@
 )
 
 const (
-	benchRate  = 1000
-	benchLasts = 4 * time.Second
+	benchCallsPerSecond = 1000
+	benchDuration       = 4 * time.Second
 )
 
-// BenchmarkAddedLatency sends a thousand calls a second straight to a plain service and through one entry and agent, in turn.
+// BenchmarkAddedLatency sends 1000 calls per second to a plain service, first directly and then
+// through one entry and one agent, and reports the difference in latency.
 func BenchmarkAddedLatency(b *testing.B) {
 	plan := smallPlan()
 	plan.Domains = plan.Domains[:1]
@@ -28,28 +29,29 @@
 		b.Fatal(err)
 	}
 	defer d.Close()
-	direct := "http://" + d.Plains[plain+"-00"].Server.Address() + "/x"
-	through := "http://" + d.Entries[0].Listen + "/services/" + plain + "/x"
+	directURL := "http://" + d.Plains[plain+"-00"].Server.Address() + "/x"
+	routedURL := "http://" + d.Entries[0].Listen + "/services/" + plain + "/x"
 	for b.Loop() {
-		pace(b, through, benchLasts/4)
-		a := pace(b, direct, benchLasts)
-		t := pace(b, through, benchLasts)
-		b.ReportMetric(micros(t, 0.5)-micros(a, 0.5), "added-p50-us")
-		b.ReportMetric(micros(t, 0.99)-micros(a, 0.99), "added-p99-us")
-		b.ReportMetric(micros(a, 0.5), "direct-p50-us")
-		b.ReportMetric(micros(a, 0.99), "direct-p99-us")
+		measureLatencies(b, routedURL, benchDuration/4)
+		direct := measureLatencies(b, directURL, benchDuration)
+		routed := measureLatencies(b, routedURL, benchDuration)
+		b.ReportMetric(quantileMicros(routed, 0.5)-quantileMicros(direct, 0.5), "added-p50-us")
+		b.ReportMetric(quantileMicros(routed, 0.99)-quantileMicros(direct, 0.99), "added-p99-us")
+		b.ReportMetric(quantileMicros(direct, 0.5), "direct-p50-us")
+		b.ReportMetric(quantileMicros(direct, 0.99), "direct-p99-us")
 	}
 }
 
-// pace sends calls at the fixed rate and returns their times, sorted.
-func pace(b *testing.B, url string, lasts time.Duration) []time.Duration {
+// measureLatencies sends benchCallsPerSecond calls per second and returns their latencies in
+// ascending order.
+func measureLatencies(b *testing.B, url string, duration time.Duration) []time.Duration {
 	client := &fasthttp.Client{MaxConnsPerHost: 512}
 	var mu sync.Mutex
-	var took []time.Duration
+	var latencies []time.Duration
 	var wg sync.WaitGroup
-	t := time.NewTicker(time.Second / benchRate)
+	t := time.NewTicker(time.Second / benchCallsPerSecond)
 	defer t.Stop()
-	for end := time.Now().Add(lasts); time.Now().Before(end); <-t.C {
+	for end := time.Now().Add(duration); time.Now().Before(end); <-t.C {
 		wg.Go(func() {
 			req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 			defer fasthttp.ReleaseRequest(req)
@@ -63,14 +65,14 @@
 			if err != nil || resp.StatusCode() != fasthttp.StatusOK {
 				b.Errorf("%v, status %d", err, resp.StatusCode())
 			}
-			took = append(took, time.Since(started))
+			latencies = append(latencies, time.Since(started))
 		})
 	}
 	wg.Wait()
-	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
-	return took
+	sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
+	return latencies
 }
 
-func micros(sorted []time.Duration, q float64) float64 {
+func quantileMicros(sorted []time.Duration, q float64) float64 {
 	return float64(sorted[int(q*float64(len(sorted)-1))].Microseconds())
 }
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -17,7 +17,7 @@
 	"geraniumpass/stand"
 )
 
-// changeInput and changeOutput are one operation of the history that porcupine checks.
+// changeInput and changeOutput describe one operation of the history that porcupine checks.
 type changeInput struct {
 	id   string
 	base uint64
@@ -29,7 +29,8 @@
 	revision uint64
 }
 
-// registerModel is a configuration that takes a change only against its present revision.
+// registerModel models a configuration that accepts a change only if it is based on the current
+// revision.
 var registerModel = porcupine.Model{
 	Init: func() any { return uint64(1) },
 	Step: func(state, input, output any) (bool, any) {
@@ -39,18 +40,18 @@
 		case out.accepted:
 			return in.base == revision && out.revision == revision+1, revision + 1
 		default:
-			// Refused: another change came first.
+			// Rejected: a concurrent change was accepted first.
 			return in.base != revision, revision
 		}
 	},
 	DescribeOperation: func(input, output any) string { return fmt.Sprintf("%+v -> %+v", input, output) },
 }
 
-// history collects operations of many operators.
+// history collects the operations of concurrent operators.
 type history struct {
-	mu  sync.Mutex
-	ops []porcupine.Operation
-	ids map[string]bool
+	mu          sync.Mutex
+	ops         []porcupine.Operation
+	acceptedIDs map[string]bool
 }
 
 func (h *history) add(op porcupine.Operation) {
@@ -58,12 +59,13 @@
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, op)
 	if out := op.Output.(changeOutput); out.accepted {
-		h.ids[op.Input.(changeInput).id] = true
+		h.acceptedIDs[op.Input.(changeInput).id] = true
 	}
 }
 
-// compete has an operator make changes until n of them are accepted.
-func compete(d *deploy.Deployment, h *history, operator, n int) error {
+// submitChanges submits one operator's changes until n of them are accepted; it fails after 500
+// attempts.
+func submitChanges(d *deploy.Deployment, h *history, operator, n int) error {
 	client := d.Operator(operator % len(d.Entries))
 	accepted := 0
 	for try := 0; accepted < n && try < 500; try++ {
@@ -73,13 +75,14 @@
 		}
 		id := fmt.Sprintf("op-%d-%d", operator, try)
 		started := time.Now().UnixNano()
-		out, err := oneChange(client, id, doc.Revision, operator, try)
+		out, err := submitChange(client, id, doc.Revision, operator, try)
 		if err != nil {
 			return err
 		}
 		for out.unsure {
-			// Repeating a change under its own id is harmless and tells what became of it.
-			if out, err = oneChange(client, id, doc.Revision, operator, try); err != nil {
+			// Retrying a change under the same ID is idempotent and returns the outcome of the
+			// first attempt.
+			if out, err = submitChange(client, id, doc.Revision, operator, try); err != nil {
 				return err
 			}
 		}
@@ -100,7 +103,7 @@
 	return nil
 }
 
-func oneChange(client *oper.Client, id string, base uint64, operator, try int) (changeOutput, error) {
+func submitChange(client *oper.Client, id string, base uint64, operator, try int) (changeOutput, error) {
 	target := config.Target{
 		Measure: config.MeasureWhole,
 		Within:  setup.Duration{Duration: time.Duration(1000+operator*100+try) * time.Millisecond},
@@ -128,16 +131,17 @@
 	return changeOutput{}, err
 }
 
-// race lets operators compete while something is broken, and checks the history and the trail.
-func race(t *testing.T, d *deploy.Deployment, operators, each int, hurt func()) {
+// raceOperators runs concurrent operators while injectFault runs, then checks that the history is
+// linearizable and that the audit log is complete.
+func raceOperators(t *testing.T, d *deploy.Deployment, operators, changesPerOperator int, injectFault func()) {
 	t.Helper()
-	h := &history{ids: make(map[string]bool)}
+	h := &history{acceptedIDs: make(map[string]bool)}
 	var wg sync.WaitGroup
 	failed := make(chan error, operators)
 	for o := range operators {
-		wg.Go(func() { failed <- compete(d, h, o, each) })
+		wg.Go(func() { failed <- submitChanges(d, h, o, changesPerOperator) })
 	}
-	hurt()
+	injectFault()
 	wg.Wait()
 	close(failed)
 	for err := range failed {
@@ -146,17 +150,18 @@
 		}
 	}
 	if res := porcupine.CheckOperationsTimeout(registerModel, h.ops, waitLimit); res != porcupine.Ok {
-		t.Errorf("history of %d operations is %s", len(h.ops), res)
+		t.Errorf("linearizability check of %d operations returned %s", len(h.ops), res)
 	}
-	inForceEverywhere(t, d, h.ids)
+	checkRolledOut(t, d, h.acceptedIDs)
 }
 
-// inForceEverywhere waits until every entry and agent holds the newest revision, and looks for every accepted change in the trail.
-func inForceEverywhere(t *testing.T, d *deploy.Deployment, ids map[string]bool) {
+// checkRolledOut waits until every entry and agent runs the newest revision, then checks that the
+// audit log contains each accepted change exactly once and has no revision gaps.
+func checkRolledOut(t *testing.T, d *deploy.Deployment, ids map[string]bool) {
 	t.Helper()
 	started := time.Now()
 	newest := uint64(len(ids) + 1)
-	eventually(t, "everyone to hold the newest revision", func() bool {
+	eventually(t, "every entry and agent to run the newest revision", func() bool {
 		for i := range d.Entries {
 			s, err := d.Operator(i).Status()
 			if err != nil || s.Revision < newest {
@@ -170,7 +175,7 @@
 		}
 		return true
 	})
-	t.Logf("in force everywhere after %s", time.Since(started).Round(time.Millisecond))
+	t.Logf("newest revision running on every entry and agent after %s", time.Since(started).Round(time.Millisecond))
 	records, err := d.Operator(0).Audit(1)
 	if err != nil {
 		t.Fatal(err)
@@ -179,35 +184,35 @@
 	for i, r := range records {
 		seen[r.ID]++
 		if r.Revision != uint64(i+1) {
-			t.Fatalf("record %d has revision %d", i, r.Revision)
+			t.Fatalf("audit record %d has revision %d", i, r.Revision)
 		}
 	}
 	for id := range ids {
 		if seen[id] != 1 {
-			t.Errorf("accepted change %s stands %d times in the trail", id, seen[id])
+			t.Errorf("accepted change %s appears %d times in the audit log, want 1", id, seen[id])
 		}
 	}
 }
 
-func TestOperatorsRace(t *testing.T) {
+func TestConcurrentConfigChangesAreLinearizable(t *testing.T) {
 	tests := []struct {
-		name      string
-		operators int
-		each      int
-		hurt      func(d *deploy.Deployment)
+		name               string
+		operators          int
+		changesPerOperator int
+		injectFault        func(d *deploy.Deployment)
 	}{
-		{name: "two operators", operators: 2, each: 20, hurt: func(*deploy.Deployment) {}},
-		{name: "ten operators", operators: 10, each: 6, hurt: func(*deploy.Deployment) {}},
-		{name: "ten operators whose writes' answers are lost", operators: 10, each: 5, hurt: func(d *deploy.Deployment) {
+		{name: "two operators", operators: 2, changesPerOperator: 20, injectFault: func(*deploy.Deployment) {}},
+		{name: "ten operators", operators: 10, changesPerOperator: 6, injectFault: func(*deploy.Deployment) {}},
+		{name: "ten operators whose writes' answers are lost", operators: 10, changesPerOperator: 5, injectFault: func(d *deploy.Deployment) {
 			d.KeyValue.SetFault(stand.Fault{LoseNext: 25})
 		}},
-		{name: "two operators and enough changes to roll pages", operators: 2, each: 160, hurt: func(*deploy.Deployment) {}},
+		{name: "two operators and enough changes to roll pages", operators: 2, changesPerOperator: 160, injectFault: func(*deploy.Deployment) {}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			d := launch(t, smallPlan(), deploy.Options{})
-			race(t, d, tt.operators, tt.each, func() { tt.hurt(d) })
+			raceOperators(t, d, tt.operators, tt.changesPerOperator, func() { tt.injectFault(d) })
 		})
 	}
 }
@@ -223,16 +228,16 @@
 		Name:   "lookup",
 		Target: &target,
 	}
-	holds := func(t *testing.T, d *deploy.Deployment, revision uint64) {
+	waitForTarget := func(t *testing.T, d *deploy.Deployment, revision uint64) {
 		t.Helper()
-		eventually(t, "every entry to hold the accepted revision", func() bool {
+		eventually(t, "every entry to run the accepted revision", func() bool {
 			for i := range d.Entries {
 				doc, err := d.Operator(i).Config()
 				if err != nil || doc.Revision < revision {
 					return false
 				}
 				if doc.Classes[0].Target != target {
-					t.Fatalf("%s has %+v at revision %d", d.Entries[i].ID, doc.Classes[0].Target, doc.Revision)
+					t.Fatalf("%s has target %+v at revision %d", d.Entries[i].ID, doc.Classes[0].Target, doc.Revision)
 				}
 			}
 			return true
@@ -241,9 +246,9 @@
 	t.Run("every entry replaced during an outage", func(t *testing.T) {
 		t.Parallel()
 		d := launch(t, smallPlan(), deploy.Options{})
-		revision := change(t, d, 0, op)
+		revision := applyChange(t, d, 0, op)
 		d.KeyValue.SetFault(stand.Fault{Down: true})
-		eventually(t, "agents to hold the accepted revision", func() bool {
+		eventually(t, "every agent to run the accepted revision", func() bool {
 			s, err := d.Operator(0).Status()
 			if err != nil {
 				return false
@@ -263,25 +268,25 @@
 				t.Fatal(err)
 			}
 		}
-		holds(t, d, revision)
+		waitForTarget(t, d, revision)
 		d.KeyValue.SetFault(stand.Fault{})
-		holds(t, d, revision)
+		waitForTarget(t, d, revision)
 	})
 	t.Run("a failure domain cut off from the platform and healed", func(t *testing.T) {
 		t.Parallel()
 		d := launch(t, smallPlan(), deploy.Options{})
 		d.StoreRelays["hall-c"].Set(stand.Break{Cut: true})
-		revision := change(t, d, 0, op)
-		// The domain still has links to entries and agents elsewhere, which bring it the change.
-		holds(t, d, revision)
+		revision := applyChange(t, d, 0, op)
+		// Links to entries and agents in other failure domains propagate the change.
+		waitForTarget(t, d, revision)
 		d.StoreRelays["hall-c"].Set(stand.Break{})
-		holds(t, d, revision)
+		waitForTarget(t, d, revision)
 	})
 	t.Run("agents replaced during an outage", func(t *testing.T) {
 		t.Parallel()
 		d := launch(t, smallPlan(), deploy.Options{})
-		revision := change(t, d, 1, op)
-		holds(t, d, revision)
+		revision := applyChange(t, d, 1, op)
+		waitForTarget(t, d, revision)
 		d.KeyValue.SetFault(stand.Fault{Down: true})
 		for _, a := range d.Agents {
 			a.Kill()
@@ -289,7 +294,7 @@
 				t.Fatal(err)
 			}
 		}
-		inForceEverywhere(t, d, map[string]bool{})
-		holds(t, d, revision)
+		checkRolledOut(t, d, map[string]bool{})
+		waitForTarget(t, d, revision)
 	})
 }
--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,2 +1,3 @@
-// Package proof holds the tests that break a whole deployment of real processes and check what must always hold.
+// Package proof tests the system's invariants by injecting faults into a whole deployment of real
+// processes.
 package proof
--- a/proof/domain_test.go
+++ b/proof/domain_test.go
@@ -11,21 +11,22 @@
 	"geraniumpass/stand"
 )
 
-// TestCutOffDomainGoesOnServing parts a failure domain from the platform and from the others' agents, and heals it.
-func TestCutOffDomainGoesOnServing(t *testing.T) {
+// TestPartitionedDomainKeepsServing partitions a failure domain from the platform and from the
+// agents of the other domains, then heals the partition.
+func TestPartitionedDomainKeepsServing(t *testing.T) {
 	d := launch(t, smallPlan(), deploy.Options{})
 	const domain, entry = "hall-c", 2
-	l := startLoad(9, func(s, n int) sent {
+	l := startLoad(9, func(s, n int) sentRequest {
 		probe := fmt.Sprintf("part-%d-%d", s, n)
 		switch n % 3 {
 		case 0:
-			return sent{probe: probe, result: user(d, entry).Completion(model, probe, 20, true, probe)}
+			return sentRequest{probe: probe, result: newCaller(d, entry).Completion(model, probe, 20, true, probe)}
 		case 1:
-			return sent{probe: probe, result: user(d, entry).Plain("GET", plain, "/x?ms=2", nil, probe, "")}
+			return sentRequest{probe: probe, result: newCaller(d, entry).Plain("GET", plain, "/x?ms=2", nil, probe, "")}
 		}
-		return booking(d, entry, "?ms=2", "once-"+probe, "")
+		return postBooking(d, entry, "?ms=2", "once-"+probe, "")
 	})
-	l.atLeast(t, 60)
+	l.waitForMore(t, 60)
 	cut := func(b stand.Break) {
 		d.StoreRelays[domain].Set(b)
 		for id, relay := range d.AgentRelays[domain] {
@@ -34,21 +35,21 @@
 			}
 		}
 	}
-	from := l.count()
+	from := l.completed()
 	cut(stand.Break{Cut: true})
-	l.atLeast(t, 300)
-	to := l.count()
+	l.waitForMore(t, 300)
+	to := l.completed()
 	cut(stand.Break{})
 	healed := time.Now()
 	if err := d.WaitUsable(entry, len(d.Agents)); err != nil {
 		t.Error(err)
 	}
 	took := time.Since(healed)
-	l.atLeast(t, 60)
-	results := l.end()
+	l.waitForMore(t, 60)
+	results := l.stopAndWait()
 	during := results[from:to]
 	whole := 0
-	var once, rest []sent
+	var once, rest []sentRequest
 	for _, s := range results {
 		if strings.HasPrefix(s.probe, "once-") {
 			once = append(once, s)
@@ -61,9 +62,10 @@
 			whole++
 		}
 	}
-	t.Logf("cut off: %d of %d requests answered whole; every upstream usable again %s after the heal", whole, len(during), took.Round(time.Millisecond))
-	// What may be repeated is answered whole throughout; a call that was running across the cut may be unknown.
-	onlyVerdicts(t, rest, caller.Whole)
-	onlyVerdicts(t, once, caller.Whole, caller.Unknown)
-	atMostOnce(t, d, once)
+	t.Logf("partitioned: %d of %d requests answered whole; every upstream usable again %s after the partition healed", whole, len(during), took.Round(time.Millisecond))
+	// Retryable requests must always be answered whole. The outcome of a non-retryable call that
+	// was in flight when the links were cut may be unknown.
+	checkVerdicts(t, rest, caller.Whole)
+	checkVerdicts(t, once, caller.Whole, caller.Unknown)
+	checkAtMostOnce(t, d, once)
 }
--- a/proof/harness_test.go
+++ b/proof/harness_test.go
@@ -17,17 +17,18 @@
 )
 
 const (
-	model    = "geranium-lm"
-	plain    = "simdesk"
-	account  = "site-visits"
-	key      = "key-site-visits"
-	other    = "engineering"
-	otherKey = "key-engineering"
-	// waitLimit bounds a wait on a condition; it is long, because only a failing test ever waits it out.
+	model        = "geranium-lm"
+	plain        = "simdesk"
+	account      = "site-visits"
+	key          = "key-site-visits"
+	otherAccount = "engineering"
+	otherKey     = "key-engineering"
+	// waitLimit is the timeout for a condition. It is long because only a failing test waits for
+	// all of it.
 	waitLimit = 30 * time.Second
 )
 
-// smallPlan is a deployment of three failure domains that starts fast.
+// smallPlan returns the plan of a fast-starting deployment with three failure domains.
 func smallPlan() *deploy.Plan {
 	return &deploy.Plan{
 		Name:    "small",
@@ -48,8 +49,8 @@
 			},
 		},
 		Keys: map[string]string{
-			account: key,
-			other:   otherKey,
+			account:      key,
+			otherAccount: otherKey,
 		},
 		Configuration: oper.File{
 			Classes: []config.Class{
@@ -77,7 +78,8 @@
 	}
 }
 
-// launch starts a deployment that ends with the test, and fails the test when a process found an invariant broken.
+// launch starts a deployment that is closed when the test ends, and fails the test if a process
+// logged an invariant violation, a panic or a data race.
 func launch(t *testing.T, plan *deploy.Plan, opt deploy.Options) *deploy.Deployment {
 	t.Helper()
 	opt.Binary = binary
@@ -94,7 +96,7 @@
 	return d
 }
 
-// checkLogs looks for broken invariants, panics and data races in the logs of all processes.
+// checkLogs searches the logs of all processes for invariant violations, panics and data races.
 func checkLogs(t *testing.T, dir string) {
 	t.Helper()
 	files, err := filepath.Glob(filepath.Join(dir, "*.log"))
@@ -107,8 +109,8 @@
 			t.Error(err)
 			continue
 		}
-		for _, sign := range []string{"invariant ", "panic:", "DATA RACE"} {
-			if i := strings.Index(string(b), sign); i >= 0 {
+		for _, pattern := range []string{"invariant ", "panic:", "DATA RACE"} {
+			if i := strings.Index(string(b), pattern); i >= 0 {
 				end := min(len(b), i+2000)
 				t.Errorf("%s: %s", filepath.Base(f), b[i:end])
 			}
@@ -116,35 +118,35 @@
 	}
 }
 
-func user(d *deploy.Deployment, entry int) *caller.Caller {
+func newCaller(d *deploy.Deployment, entry int) *caller.Caller {
 	return &caller.Caller{
 		Entry: d.Entries[entry%len(d.Entries)].Listen,
 		Key:   key,
 	}
 }
 
-func eventually(t *testing.T, what string, condition func() bool) {
+func eventually(t *testing.T, description string, condition func() bool) {
 	t.Helper()
-	if err := deploy.Until(what, waitLimit, condition); err != nil {
+	if err := deploy.Until(description, waitLimit, condition); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// load sends requests from several senders until it is ended, and keeps what became of each.
+// load sends requests from concurrent senders until it is stopped, and records the result of each.
 type load struct {
 	stop chan struct{}
 	wg   sync.WaitGroup
 
 	mu      sync.Mutex
-	results []sent
+	results []sentRequest
 }
 
-type sent struct {
+type sentRequest struct {
 	probe  string
 	result caller.Result
 }
 
-func startLoad(senders int, one func(sender, n int) sent) *load {
+func startLoad(senders int, send func(sender, n int) sentRequest) *load {
 	l := &load{stop: make(chan struct{})}
 	for s := range senders {
 		l.wg.Go(func() {
@@ -154,41 +156,42 @@
 					return
 				default:
 				}
-				l.keep(one(s, n))
+				l.record(send(s, n))
 			}
 		})
 	}
 	return l
 }
 
-func (l *load) keep(s sent) {
+func (l *load) record(s sentRequest) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.results = append(l.results, s)
 }
 
-func (l *load) count() int {
+func (l *load) completed() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.results)
 }
 
-// end stops the senders after what they have under way, and returns all results.
-func (l *load) end() []sent {
+// stopAndWait stops the senders, waits for their in-flight requests and returns all results.
+func (l *load) stopAndWait() []sentRequest {
 	close(l.stop)
 	l.wg.Wait()
 	return l.results
 }
 
-// atLeast waits until n more requests have ended.
-func (l *load) atLeast(t *testing.T, n int) {
+// waitForMore waits until n more requests have completed.
+func (l *load) waitForMore(t *testing.T, n int) {
 	t.Helper()
-	from := l.count()
-	eventually(t, "requests to end", func() bool { return l.count() >= from+n })
+	from := l.completed()
+	eventually(t, "requests to complete", func() bool { return l.completed() >= from+n })
 }
 
-// onlyVerdicts fails the test for every result that is none of those allowed.
-func onlyVerdicts(t *testing.T, results []sent, allowed ...caller.Verdict) {
+// checkVerdicts fails the test if any result has a verdict that is not allowed; it prints the first
+// five.
+func checkVerdicts(t *testing.T, results []sentRequest, allowed ...caller.Verdict) {
 	t.Helper()
 	bad := 0
 	for _, s := range results {
@@ -204,6 +207,6 @@
 		}
 	}
 	if bad > 0 {
-		t.Errorf("%d of %d requests ended otherwise than allowed", bad, len(results))
+		t.Errorf("%d of %d requests ended with a verdict that is not allowed", bad, len(results))
 	}
 }
--- a/proof/leave_test.go
+++ b/proof/leave_test.go
@@ -11,8 +11,9 @@
 	"geraniumpass/stand"
 )
 
-// usedBy returns true while an entry would give the instance new work.
-func usedBy(d *deploy.Deployment, i int, id string) bool {
+// isUsable reports whether entry i may dispatch new requests to the instance. It returns true if
+// the status of the entry is not available.
+func isUsable(d *deploy.Deployment, i int, id string) bool {
 	s, err := d.Operator(i).Status()
 	if err != nil {
 		return true
@@ -46,7 +47,7 @@
 		}},
 		{name: "said by an operator while the list is down", leave: func(t *testing.T, d *deploy.Deployment) {
 			d.SetListFault(stand.Fault{Down: true})
-			change(t, d, 1, config.Op{
+			applyChange(t, d, 1, config.Op{
 				Kind: config.OpDrain,
 				Name: id,
 			})
@@ -63,36 +64,37 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			d := launch(t, smallPlan(), deploy.Options{})
-			l := startLoad(9, func(s, n int) sent {
-				return booking(d, s+n, "?ms=5", fmt.Sprintf("leave-%d-%d", s, n), "")
+			l := startLoad(9, func(s, n int) sentRequest {
+				return postBooking(d, s+n, "?ms=5", fmt.Sprintf("leave-%d-%d", s, n), "")
 			})
-			l.atLeast(t, 30)
+			l.waitForMore(t, 30)
 			tt.leave(t, d)
-			eventually(t, "all entries to stop using it", func() bool {
+			eventually(t, "all entries to stop dispatching to the leaving instance", func() bool {
 				for i := range d.Entries {
-					if usedBy(d, i, id) {
+					if isUsable(d, i, id) {
 						return false
 					}
 				}
 				return true
 			})
-			// What was dispatched before may still end there; after a round of requests nothing more may begin.
-			l.atLeast(t, 100)
+			// Requests dispatched earlier may still complete there. Once 100 more requests have
+			// completed, no new call may begin.
+			l.waitForMore(t, 100)
 			calls := d.Plains[id].Calls()
-			l.atLeast(t, 200)
+			l.waitForMore(t, 200)
 			if now := d.Plains[id].Calls(); now != calls {
 				t.Errorf("%d calls began at a leaving upstream", now-calls)
 			}
-			results := l.end()
-			// An entry that has just started refuses until it holds a configuration.
-			onlyVerdicts(t, results, caller.Whole, caller.Refused, caller.Lost, caller.Unknown, caller.NotRun)
-			atMostOnce(t, d, results)
+			results := l.stopAndWait()
+			// A newly started entry refuses requests until it has a configuration.
+			checkVerdicts(t, results, caller.Whole, caller.Refused, caller.Lost, caller.Unknown, caller.NotRun)
+			checkAtMostOnce(t, d, results)
 		})
 	}
 }
 
-// change makes an operator's change through an entry and returns its revision.
-func change(t *testing.T, d *deploy.Deployment, i int, ops ...config.Op) uint64 {
+// applyChange applies configuration operations through entry i and returns the accepted revision.
+func applyChange(t *testing.T, d *deploy.Deployment, i int, ops ...config.Op) uint64 {
 	t.Helper()
 	var reply entry.ChangeReply
 	eventually(t, "a change to be accepted", func() bool {
--- a/proof/main_test.go
+++ b/proof/main_test.go
@@ -8,14 +8,14 @@
 	"testing"
 )
 
-// binary is the program under test, built once.
+// binary is the path of the program under test, which TestMain builds once.
 var binary string
 
 func TestMain(m *testing.M) {
-	os.Exit(build(m))
+	os.Exit(buildAndRun(m))
 }
 
-func build(m *testing.M) int {
+func buildAndRun(m *testing.M) int {
 	dir, err := os.MkdirTemp("", "geraniumpass-proof-")
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
--- a/proof/map_test.go
+++ b/proof/map_test.go
@@ -12,12 +12,13 @@
 )
 
 const (
-	groupName    = "geranium-lm"
-	groupExperts = 16
-	manyMoves    = 1_000_000
+	groupName             = "geranium-lm"
+	groupExperts          = 16
+	unlimitedMovesPerHour = 1_000_000
 )
 
-// groupPlan is the small plan with its engines as the ranks of a group whose map is switched as often as possible.
+// groupPlan returns the small plan with its engines as the ranks of one group, whose low skew
+// threshold and high move limit make map switches as frequent as possible.
 func groupPlan(checksFence bool) *deploy.Plan {
 	p := smallPlan()
 	s := &p.Services[0]
@@ -28,13 +29,14 @@
 	p.Configuration.Groups = []config.Group{{
 		Name:         groupName,
 		Skew:         0.02,
-		MovesPerHour: manyMoves,
+		MovesPerHour: unlimitedMovesPerHour,
 	}}
 	return p
 }
 
-// drift changes the popularity of experts until the test ends, so that there is always a reason to switch.
-func drift(t *testing.T, g *stand.Group) {
+// driftPopularity changes the popularity of experts until the test ends, so that map switches keep
+// occurring.
+func driftPopularity(t *testing.T, g *stand.Group) {
 	t.Helper()
 	stop := make(chan struct{})
 	done := make(chan struct{})
@@ -62,7 +64,8 @@
 	})
 }
 
-// leaderOf returns the entry that leads the group, of those that can be asked.
+// leaderOf returns the entry that leads the group, or nil if none is found. It skips frozen and
+// stopped entries.
 func leaderOf(d *deploy.Deployment, frozen ...*deploy.Process) *deploy.Process {
 	for i, p := range d.Entries {
 		if !p.Running() || slices.Contains(frozen, p) {
@@ -81,21 +84,21 @@
 	return nil
 }
 
-func version(g *stand.Group) uint64 {
+func mapVersion(g *stand.Group) uint64 {
 	return g.Ranks()[0].State().Version
 }
 
-// switches waits until the group has gone through n more maps.
-func switches(t *testing.T, g *stand.Group, n int) {
+// waitForSwitches waits until the group has completed n more map switches.
+func waitForSwitches(t *testing.T, g *stand.Group, n int) {
 	t.Helper()
 	for range n {
-		from := version(g)
-		eventually(t, "a switch of the map", func() bool { return version(g) > from })
+		from := mapVersion(g)
+		eventually(t, "a map switch", func() bool { return mapVersion(g) > from })
 	}
 }
 
-// midSwitch waits until some rank holds a promise.
-func midSwitch(t *testing.T, g *stand.Group) {
+// waitForMidSwitch waits until a rank has accepted the step cap of a map switch in progress.
+func waitForMidSwitch(t *testing.T, g *stand.Group) {
 	t.Helper()
 	end := time.Now().Add(waitLimit)
 	for time.Now().Before(end) {
@@ -105,55 +108,55 @@
 			}
 		}
 	}
-	t.Fatal("no rank ever held a promise")
+	t.Fatal("no rank accepted a step cap before the timeout")
 }
 
-func oneMap(t *testing.T, g *stand.Group) {
+func checkSingleMap(t *testing.T, g *stand.Group) {
 	t.Helper()
 	if n := g.Violations(); n > 0 {
-		t.Errorf("%d steps on more than one map", n)
+		t.Errorf("%d steps ran on more than one map", n)
 	}
 }
 
 func TestOneMapUnderFailures(t *testing.T) {
 	tests := []struct {
-		name  string
-		fence bool
-		hurt  func(t *testing.T, d *deploy.Deployment, g *stand.Group)
+		name        string
+		fence       bool
+		injectFault func(t *testing.T, d *deploy.Deployment, g *stand.Group)
 	}{
-		{name: "nothing", hurt: func(*testing.T, *deploy.Deployment, *stand.Group) {}},
-		{name: "leader killed in mid-switch", hurt: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
+		{name: "nothing", injectFault: func(*testing.T, *deploy.Deployment, *stand.Group) {}},
+		{name: "leader killed in mid-switch", injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
 			p := leaderOf(d)
-			midSwitch(t, g)
+			waitForMidSwitch(t, g)
 			p.Kill()
 			if err := p.Restart(); err != nil {
 				t.Fatal(err)
 			}
 		}},
-		{name: "leader frozen until its lease has lapsed, then going on", hurt: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
+		{name: "leader frozen until its lease has lapsed, then going on", injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
 			p := leaderOf(d)
-			midSwitch(t, g)
+			waitForMidSwitch(t, g)
 			p.Freeze()
 			eventually(t, "another leader", func() bool {
 				return leaderOf(d, p) != nil
 			})
 			p.Thaw()
 		}},
-		{name: "platform outage in mid-switch", hurt: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
-			midSwitch(t, g)
+		{name: "platform outage in mid-switch", injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
+			waitForMidSwitch(t, g)
 			d.KeyValue.SetFault(stand.Fault{Down: true})
 			step := g.Step()
-			eventually(t, "steps during the outage", func() bool { return g.Step() > step+500 })
+			eventually(t, "the group to run 500 steps during the outage", func() bool { return g.Step() > step+500 })
 			d.KeyValue.SetFault(stand.Fault{})
 		}},
-		{name: "leases ended while their holder is at work, and the next holder's answer lost", hurt: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
-			midSwitch(t, g)
+		{name: "leases ended while their holder is at work, and the next holder's answer lost", injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
+			waitForMidSwitch(t, g)
 			d.KeyValue.EndLeases(time.Minute)
 			d.KeyValue.SetFault(stand.Fault{LoseNext: 3})
 		}},
-		{name: "agents restarted in mid-switch", hurt: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
+		{name: "agents restarted in mid-switch", injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
 			for _, id := range []string{model + "-00", model + "-01"} {
-				midSwitch(t, g)
+				waitForMidSwitch(t, g)
 				a := d.Agents[id]
 				a.Kill()
 				if err := a.Restart(); err != nil {
@@ -161,13 +164,13 @@
 				}
 			}
 		}},
-		{name: "orders and replies held in one direction", fence: true, hurt: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
+		{name: "orders and replies held in one direction", fence: true, injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
 			domain := leaderOf(d).Domain
 			for _, brk := range []stand.Break{{HoldForward: true}, {HoldBack: true}, {Delay: 20 * time.Millisecond}} {
-				midSwitch(t, g)
+				waitForMidSwitch(t, g)
 				d.AgentRelays[domain][model+"-02"].Set(brk)
 				step := g.Step()
-				eventually(t, "a while", func() bool { return g.Step() > step || g.Stalled() > 0 })
+				eventually(t, "the group to step or stall", func() bool { return g.Step() > step || g.Stalled() > 0 })
 				d.AgentRelays[domain][model+"-02"].Set(stand.Break{})
 			}
 		}},
@@ -177,22 +180,23 @@
 			t.Parallel()
 			d := launch(t, groupPlan(tt.fence), deploy.Options{})
 			g := d.Groups[groupName]
-			drift(t, g)
-			switches(t, g, 1)
-			tt.hurt(t, d, g)
-			switches(t, g, 2)
-			oneMap(t, g)
+			driftPopularity(t, g)
+			waitForSwitches(t, g, 1)
+			tt.injectFault(t, d, g)
+			waitForSwitches(t, g, 2)
+			checkSingleMap(t, g)
 		})
 	}
 }
 
-// TestLeaderReachesRanksOutsideItsSubset gives every entry fewer links than there are upstreams.
+// TestLeaderReachesRanksOutsideItsSubset limits every entry to fewer links than there are
+// upstreams, so that a leader must also reach ranks outside the subset that it links to.
 func TestLeaderReachesRanksOutsideItsSubset(t *testing.T) {
 	p := groupPlan(false)
 	p.MaxLinks = 4
 	d := launch(t, p, deploy.Options{})
 	g := d.Groups[groupName]
-	drift(t, g)
-	switches(t, g, 1)
-	oneMap(t, g)
+	driftPopularity(t, g)
+	waitForSwitches(t, g, 1)
+	checkSingleMap(t, g)
 }
--- a/proof/race_on_test.go
+++ b/proof/race_on_test.go
@@ -2,5 +2,5 @@
 
 package proof
 
-// raceFlag builds the processes under test with the race detector when the tests have it.
+// raceFlag builds the processes under test with the race detector if the tests run with it.
 const raceFlag = "-race"
--- a/proof/soak_test.go
+++ b/proof/soak_test.go
@@ -8,10 +8,10 @@
 	"geraniumpass/deploy"
 )
 
-// TestShortSoak plays the first events of a fixed seed; make soak goes on with others.
+// TestShortSoak runs the first 10 fault events of a fixed seed; "make soak" runs more seeds.
 func TestShortSoak(t *testing.T) {
 	d := launch(t, groupPlan(false), deploy.Options{})
-	drift(t, d.Groups[groupName])
+	driftPopularity(t, d.Groups[groupName])
 	report, err := chaos.Run(d, chaos.Options{
 		Seed:    20261202,
 		Events:  10,
@@ -21,5 +21,5 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Logf("%v, %d changes accepted, events %q", report.Verdicts, report.Accepted, report.Events)
+	t.Logf("verdicts %v, %d configuration changes accepted, events %q", report.Verdicts, report.Accepted, report.Events)
 }
--- a/proof/stop_test.go
+++ b/proof/stop_test.go
@@ -12,7 +12,7 @@
 	"geraniumpass/stand"
 )
 
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestGracefulStopCompletesRequests(t *testing.T) {
 	tests := []struct {
 		name string
 		stop func(t *testing.T, d *deploy.Deployment) []*deploy.Process
@@ -35,19 +35,19 @@
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
 			d := launch(t, smallPlan(), deploy.Options{})
-			l := startLoad(12, func(s, n int) sent {
+			l := startLoad(12, func(s, n int) sentRequest {
 				probe := fmt.Sprintf("stop-%d-%d", s, n)
 				if s%3 == 0 {
-					return booking(d, s+n, "?ms=300", "booking-"+probe, "")
+					return postBooking(d, s+n, "?ms=300", "booking-"+probe, "")
 				}
-				// Streams of a second, much longer than the usual call.
-				return sent{
+				// These streams last about one second, much longer than a typical call.
+				return sentRequest{
 					probe:  probe,
-					result: user(d, s+n).Completion(model, probe, 250, true, probe),
+					result: newCaller(d, s+n).Completion(model, probe, 250, true, probe),
 				}
 			})
-			l.atLeast(t, 30)
-			eventually(t, "streams under way", func() bool {
+			l.waitForMore(t, 30)
+			eventually(t, "more than 3 streams to run", func() bool {
 				n := int64(0)
 				for _, e := range d.Engines {
 					n += e.Running()
@@ -59,16 +59,17 @@
 				p.Terminate()
 			}
 			for _, p := range stopped {
-				eventually(t, p.ID+" to end", func() bool { return !p.Running() })
+				eventually(t, p.ID+" to exit", func() bool { return !p.Running() })
 				if err := p.Err(); err != nil {
-					t.Errorf("%s ended with %v", p.ID, err)
+					t.Errorf("%s exited with error %v", p.ID, err)
 				}
 			}
-			l.atLeast(t, 20)
-			results := l.end()
-			// A stopped entry refuses connections, on which a balancer tries the next.
-			onlyVerdicts(t, results, caller.Whole, caller.Refused)
-			atMostOnce(t, d, lo.Filter(results, func(s sent, _ int) bool { return strings.HasPrefix(s.probe, "booking-") }))
+			l.waitForMore(t, 20)
+			results := l.stopAndWait()
+			// A stopped entry refuses connections; a load balancer in front would then try the next
+			// entry.
+			checkVerdicts(t, results, caller.Whole, caller.Refused)
+			checkAtMostOnce(t, d, lo.Filter(results, func(s sentRequest, _ int) bool { return strings.HasPrefix(s.probe, "booking-") }))
 		})
 	}
 }
--- a/proof/surge_test.go
+++ b/proof/surge_test.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	surgeBefore  = 4 * time.Second
-	surgeLasts   = 8 * time.Second
-	lookupRate   = 120
-	summaryRate  = 25
-	surgeTimes   = 10
-	lookupWithin = 400 * time.Millisecond
-	sumWithin    = 3 * time.Second
+	baselineDuration   = 4 * time.Second
+	surgeDuration      = 8 * time.Second
+	lookupsPerSecond   = 120
+	summariesPerSecond = 25
+	surgeFactor        = 10
+	lookupTarget       = 400 * time.Millisecond
+	summaryTarget      = 3 * time.Second
 )
 
-// phase counts what became of one class in one part of the surge.
-type phase struct {
+// phaseStats counts the outcomes of one class of requests in one phase of the benchmark.
+type phaseStats struct {
 	mu      sync.Mutex
 	sent    int
 	onTime  int
 	refused int
 }
 
-func (p *phase) add(r caller.Result, within time.Duration) {
+func (p *phaseStats) add(r caller.Result, within time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.sent++
@@ -42,38 +42,39 @@
 	}
 }
 
-func (p *phase) share() float64 {
+func (p *phaseStats) onTimeRatio() float64 {
 	return float64(p.onTime) / float64(max(p.sent, 1))
 }
 
-// BenchmarkSurge sends lookups and summaries to real processes, the summaries ten-fold for a while, far over what the engines can do.
+// BenchmarkSurge sends lookups and summaries to real processes. During the surge it sends ten times
+// as many summaries, far beyond the capacity of the engines.
 func BenchmarkSurge(b *testing.B) {
 	plan := smallPlan()
 	plan.LogLevel = "warn"
-	plan.Configuration.Classes[0].Target = firstToken(lookupWithin)
-	plan.Configuration.Classes[2].Target = firstToken(sumWithin)
+	plan.Configuration.Classes[0].Target = firstToken(lookupTarget)
+	plan.Configuration.Classes[2].Target = firstToken(summaryTarget)
 	d, err := deploy.Start(plan, deploy.Options{Binary: binary, Dir: b.TempDir()})
 	if err != nil {
 		b.Fatal(err)
 	}
 	defer d.Close()
 	for b.Loop() {
-		var lookups, summaries [3]phase
+		var lookups, summaries [3]phaseStats
 		var wg sync.WaitGroup
-		for i, lasts := range []time.Duration{surgeBefore, surgeLasts, surgeBefore} {
-			times := 1
+		for i, duration := range []time.Duration{baselineDuration, surgeDuration, baselineDuration} {
+			factor := 1
 			if i == 1 {
-				times = surgeTimes
+				factor = surgeFactor
 			}
 			var senders sync.WaitGroup
-			senders.Go(func() { offer(d, &wg, lasts, lookupRate, 8, "lookup", lookupWithin, &lookups[i]) })
-			senders.Go(func() { offer(d, &wg, lasts, summaryRate*times, 120, "", sumWithin, &summaries[i]) })
+			senders.Go(func() { sendAtRate(d, &wg, duration, lookupsPerSecond, 8, "lookup", lookupTarget, &lookups[i]) })
+			senders.Go(func() { sendAtRate(d, &wg, duration, summariesPerSecond*factor, 120, "", summaryTarget, &summaries[i]) })
 			senders.Wait()
 		}
 		wg.Wait()
 		for i, name := range []string{"before", "during", "after"} {
-			b.ReportMetric(lookups[i].share(), "lookups-on-time-"+name)
-			b.ReportMetric(summaries[i].share(), "summaries-on-time-"+name)
+			b.ReportMetric(lookups[i].onTimeRatio(), "lookups-on-time-"+name)
+			b.ReportMetric(summaries[i].onTimeRatio(), "summaries-on-time-"+name)
 		}
 		b.ReportMetric(float64(summaries[1].refused)/float64(summaries[1].sent), "summaries-refused-during")
 	}
@@ -87,14 +88,15 @@
 	}
 }
 
-// offer sends streamed requests at a rate for a while, without waiting for their answers.
-func offer(d *deploy.Deployment, wg *sync.WaitGroup, lasts time.Duration, perSecond, tokens int, label string, within time.Duration, p *phase) {
+// sendAtRate sends streaming requests at a fixed rate for the given duration without waiting for
+// their answers.
+func sendAtRate(d *deploy.Deployment, wg *sync.WaitGroup, duration time.Duration, perSecond, tokens int, label string, within time.Duration, p *phaseStats) {
 	t := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer t.Stop()
 	n := 0
-	for end := time.Now().Add(lasts); time.Now().Before(end); <-t.C {
+	for end := time.Now().Add(duration); time.Now().Before(end); <-t.C {
 		n++
-		c := user(d, n)
+		c := newCaller(d, n)
 		c.Label = label
 		prompt := fmt.Sprint(label, n)
 		wg.Go(func() { p.add(c.Completion(model, prompt, tokens, true, ""), within) })
--- a/proof/whole_test.go
+++ b/proof/whole_test.go
@@ -11,42 +11,42 @@
 
 const streamTokens = 60
 
-func stream(d *deploy.Deployment, sender, n int) sent {
+func sendStream(d *deploy.Deployment, sender, n int) sentRequest {
 	probe := fmt.Sprintf("stream-%d-%d", sender, n)
-	return sent{
+	return sentRequest{
 		probe:  probe,
-		result: user(d, sender+n).Completion(model, "study "+probe, streamTokens, true, probe),
+		result: newCaller(d, sender+n).Completion(model, "study "+probe, streamTokens, true, probe),
 	}
 }
 
 func TestStreamsSurviveAgentKilled(t *testing.T) {
 	d := launch(t, smallPlan(), deploy.Options{})
-	l := startLoad(12, func(s, n int) sent { return stream(d, s, n) })
-	l.atLeast(t, 12)
+	l := startLoad(12, func(s, n int) sentRequest { return sendStream(d, s, n) })
+	l.waitForMore(t, 12)
 	a := d.Agents[model+"-00"]
-	eventually(t, "streams at the agent", func() bool { return d.Engines[model+"-00"].Running() > 0 })
+	eventually(t, "streams to run at the engine of the agent", func() bool { return d.Engines[model+"-00"].Running() > 0 })
 	a.Kill()
-	l.atLeast(t, 24)
+	l.waitForMore(t, 24)
 	if err := a.Restart(); err != nil {
 		t.Fatal(err)
 	}
-	l.atLeast(t, 24)
-	onlyVerdicts(t, l.end(), caller.Whole)
+	l.waitForMore(t, 24)
+	checkVerdicts(t, l.stopAndWait(), caller.Whole)
 }
 
 func TestStreamsSurviveEngineKilled(t *testing.T) {
 	d := launch(t, smallPlan(), deploy.Options{})
-	l := startLoad(12, func(s, n int) sent { return stream(d, s, n) })
-	l.atLeast(t, 12)
+	l := startLoad(12, func(s, n int) sentRequest { return sendStream(d, s, n) })
+	l.waitForMore(t, 12)
 	e := d.Engines[model+"-01"]
-	eventually(t, "streams at the engine", func() bool { return e.Running() > 0 })
+	eventually(t, "streams to run at the engine", func() bool { return e.Running() > 0 })
 	e.Server.Stop()
-	l.atLeast(t, 24)
+	l.waitForMore(t, 24)
 	if err := e.Server.Start(); err != nil {
 		t.Fatal(err)
 	}
-	l.atLeast(t, 24)
-	onlyVerdicts(t, l.end(), caller.Whole)
+	l.waitForMore(t, 24)
+	checkVerdicts(t, l.stopAndWait(), caller.Whole)
 }
 
 func TestStreamsSurviveLinksCut(t *testing.T) {
@@ -61,17 +61,17 @@
 	d := launch(t, smallPlan(), deploy.Options{})
 	for _, tt := range breaks {
 		t.Run(tt.name, func(t *testing.T) {
-			l := startLoad(9, func(s, n int) sent { return stream(d, s, n) })
-			l.atLeast(t, 9)
+			l := startLoad(9, func(s, n int) sentRequest { return sendStream(d, s, n) })
+			l.waitForMore(t, 9)
 			for _, domain := range d.Plan.Domains {
 				d.AgentRelays[domain][model+"-02"].Set(tt.brk)
 			}
-			l.atLeast(t, 18)
+			l.waitForMore(t, 18)
 			for _, domain := range d.Plan.Domains {
 				d.AgentRelays[domain][model+"-02"].Set(stand.Break{})
 			}
-			l.atLeast(t, 18)
-			onlyVerdicts(t, l.end(), caller.Whole)
+			l.waitForMore(t, 18)
+			checkVerdicts(t, l.stopAndWait(), caller.Whole)
 			for i := range d.Entries {
 				if err := d.WaitUsable(i, len(d.Agents)); err != nil {
 					t.Error(err)
@@ -81,26 +81,26 @@
 	}
 }
 
-func TestAnswersAreOfTheOwnRequest(t *testing.T) {
+func TestAnswersMatchTheirRequests(t *testing.T) {
 	d := launch(t, smallPlan(), deploy.Options{})
-	l := startLoad(16, func(s, n int) sent {
+	l := startLoad(16, func(s, n int) sentRequest {
 		probe := fmt.Sprintf("own-%d-%d", s, n)
-		c := user(d, s+n)
+		c := newCaller(d, s+n)
 		if s%2 == 1 {
 			c.Key = otherKey
 		}
 		if n%2 == 0 {
-			// Like bodies for all senders: only the probe, a header, tells the answers apart.
-			return sent{
+			// All senders use the same body, so only the probe header distinguishes the answers.
+			return sentRequest{
 				probe:  probe,
 				result: c.Plain("POST", plain, "/same?ms=3", []byte("like body"), probe, ""),
 			}
 		}
-		return sent{
+		return sentRequest{
 			probe:  probe,
 			result: c.Plain("GET", plain, fmt.Sprintf("/bulk?size=%d", 200_000+n), nil, probe, ""),
 		}
 	})
-	l.atLeast(t, 300)
-	onlyVerdicts(t, l.end(), caller.Whole)
+	l.waitForMore(t, 300)
+	checkVerdicts(t, l.stopAndWait(), caller.Whole)
 }
