--- a/agent/config.go
+++ b/agent/config.go
@@ -17,7 +17,7 @@
 }
 
 func (a *Agent) takeConfig(c *proto.Config) {
-	if err := config.Take(a.config, c); err != nil {
+	if err := config.ApplyUpdate(a.config, c); err != nil {
 		a.log.Warn("configuration not taken", "error", err)
 	}
 }
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -69,7 +69,7 @@
 	case f.Config != nil:
 		a.takeConfig(f.Config)
 	case f.ConfigAsk != nil:
-		config.Answer(a.config, l, f.ConfigAsk)
+		config.SendUpdate(a.config, l, f.ConfigAsk)
 	}
 }
 
--- a/chaos/events.go
+++ b/chaos/events.go
@@ -73,9 +73,9 @@
 
 func (r *run) freeze(p *deploy.Process, lasts time.Duration) {
 	r.note("freeze %s for %s", p.ID, lasts)
-	p.Freeze()
+	p.Suspend()
 	time.Sleep(lasts)
-	p.Thaw()
+	p.Resume()
 }
 
 func (r *run) aRelay() (*stand.Relay, string) {
--- a/cmd/capacity/document.go
+++ b/cmd/capacity/document.go
@@ -24,7 +24,7 @@
 		const rounds = 20000
 		started := time.Now()
 		for range rounds {
-			a, _ := doc.AccountOf(key)
+			a, _ := doc.AccountByKey(key)
 			doc.Classify(service, a.Name, "")
 		}
 		lookup.points = append(lookup.points, point{x: float64(n), y: float64(time.Since(started).Nanoseconds()) / rounds})
--- a/config/apply.go
+++ b/config/apply.go
@@ -9,7 +9,8 @@
 	"geraniumpass/setup"
 )
 
-// Apply returns the document after a record, which must be of the next revision, and leaves doc as it is.
+// Apply returns a copy of doc with r applied and leaves doc unchanged. It fails with a *GapError
+// unless r has the revision after that of doc, and with an *InvalidError if the result is invalid.
 func Apply(doc *Document, r Record) (*Document, error) {
 	if r.Revision != doc.Revision+1 {
 		return nil, &GapError{
@@ -33,7 +34,7 @@
 		}
 	}
 	findings = append(findings, setup.Check(next)...)
-	findings = append(findings, next.meaning()...)
+	findings = append(findings, next.checkSemantics()...)
 	if len(findings) > 0 {
 		return nil, &InvalidError{Findings: findings}
 	}
@@ -45,21 +46,21 @@
 	case OpSetClass:
 		return d.setClass(op.Class)
 	case OpRemoveClass:
-		return removed(op.Name, d.removeClass(op.Name))
+		return checkFound(op.Name, d.removeClass(op.Name))
 	case OpSetTarget:
 		return d.setTarget(op.Name, op.Target)
 	case OpSetAccount:
 		return d.setAccount(op.Account)
 	case OpRemoveAccount:
-		return removed(op.Name, d.removeAccount(op.Name))
+		return checkFound(op.Name, d.removeAccount(op.Name))
 	case OpSetGroup:
 		return d.setGroup(op.Group)
 	case OpRemoveGroup:
-		return removed(op.Name, d.removeGroup(op.Name))
+		return checkFound(op.Name, d.removeGroup(op.Name))
 	case OpDrain:
 		return d.drain(op.Name)
 	case OpUndrain:
-		return removed(op.Name, d.undrain(op.Name))
+		return checkFound(op.Name, d.undrain(op.Name))
 	}
 	return &setup.ValueError{
 		Path: ".kind",
@@ -68,7 +69,7 @@
 	}
 }
 
-func missing(path string) *setup.ValueError {
+func missingValue(path string) *setup.ValueError {
 	return &setup.ValueError{
 		Path: path,
 		Got:  "nothing",
@@ -76,7 +77,8 @@
 	}
 }
 
-func removed(name string, found bool) *setup.ValueError {
+// checkFound returns a finding for name unless found is true.
+func checkFound(name string, found bool) *setup.ValueError {
 	if found {
 		return nil
 	}
@@ -89,7 +91,7 @@
 
 func (d *Document) setClass(c *Class) *setup.ValueError {
 	if c == nil {
-		return missing(".class")
+		return missingValue(".class")
 	}
 	_, i, ok := lo.FindIndexOf(d.Classes, func(have Class) bool { return have.Name == c.Name })
 	if ok {
@@ -108,18 +110,18 @@
 
 func (d *Document) setTarget(class string, t *Target) *setup.ValueError {
 	if t == nil {
-		return missing(".target")
+		return missingValue(".target")
 	}
 	_, i, ok := lo.FindIndexOf(d.Classes, func(have Class) bool { return have.Name == class })
 	if ok {
 		d.Classes[i].Target = *t
 	}
-	return removed(class, ok)
+	return checkFound(class, ok)
 }
 
 func (d *Document) setAccount(a *Account) *setup.ValueError {
 	if a == nil {
-		return missing(".account")
+		return missingValue(".account")
 	}
 	_, i, ok := lo.FindIndexOf(d.Accounts, func(have Account) bool { return have.Name == a.Name })
 	if ok {
@@ -138,7 +140,7 @@
 
 func (d *Document) setGroup(g *Group) *setup.ValueError {
 	if g == nil {
-		return missing(".group")
+		return missingValue(".group")
 	}
 	_, i, ok := lo.FindIndexOf(d.Groups, func(have Group) bool { return have.Name == g.Name })
 	if ok {
@@ -157,7 +159,7 @@
 
 func (d *Document) drain(id string) *setup.ValueError {
 	if id == "" {
-		return missing(".name")
+		return missingValue(".name")
 	}
 	d.Drained = lo.Uniq(append(d.Drained, id))
 	return nil
@@ -169,8 +171,9 @@
 	return len(d.Drained) < n
 }
 
-// meaning checks what tags can't: names that are used twice, keys that two accounts share, targets of no time.
-func (d *Document) meaning() []*setup.ValueError {
+// checkSemantics reports what struct tags cannot express: keys shared by two accounts and targets
+// without a positive time limit.
+func (d *Document) checkSemantics() []*setup.ValueError {
 	var out []*setup.ValueError
 	for i, c := range d.Classes {
 		if c.Target.Within.Duration <= 0 {
@@ -181,17 +184,17 @@
 			})
 		}
 	}
-	holder := make(map[string]string)
+	keyOwner := make(map[string]string)
 	for i, a := range d.Accounts {
 		for j, k := range a.KeySHA256 {
-			if other, ok := holder[k]; ok {
+			if other, ok := keyOwner[k]; ok {
 				out = append(out, &setup.ValueError{
 					Path: fmt.Sprintf("accounts[%d].key_sha256[%d]", i, j),
 					Got:  "a key that account " + other + " has",
 					Want: "a key of its own",
 				})
 			}
-			holder[k] = a.Name
+			keyOwner[k] = a.Name
 		}
 	}
 	return out
--- a/config/classify.go
+++ b/config/classify.go
@@ -8,21 +8,22 @@
 )
 
 const (
-	unclassifiedName   = "unclassified"
-	unclassifiedWithin = 30 * time.Second
-	unclassifiedShare  = 95
+	unclassifiedName    = "unclassified"
+	unclassifiedWithin  = 30 * time.Second
+	unclassifiedPercent = 95
 )
 
 var unclassified = Class{
 	Name: unclassifiedName,
 	Target: Target{
-		Measure: MeasureWhole,
+		Measure: MeasureComplete,
 		Within:  setup.Duration{Duration: unclassifiedWithin},
-		Percent: unclassifiedShare,
+		Percent: unclassifiedPercent,
 	},
 }
 
-// Classify returns the first class that matches, or one with a target of 30 seconds when none does.
+// Classify returns the first class that matches, or a default class with a target of 30 seconds if
+// none does.
 func (d *Document) Classify(service, account, label string) Class {
 	for _, c := range d.Classes {
 		if c.Match.matches(service, account, label) {
@@ -38,8 +39,9 @@
 		(m.Label == "" || m.Label == label)
 }
 
-// AccountOf returns the account that holds a key by the key's SHA-256 in hexadecimal.
-func (d *Document) AccountOf(keySHA256 string) (Account, bool) {
+// AccountByKey returns the account with the key of the given SHA-256 in hexadecimal, and whether
+// there is one.
+func (d *Document) AccountByKey(keySHA256 string) (Account, bool) {
 	for _, a := range d.Accounts {
 		if slices.Contains(a.KeySHA256, keySHA256) {
 			return a, true
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -16,14 +16,14 @@
 
 func target(within time.Duration) Target {
 	return Target{
-		Measure: MeasureWhole,
+		Measure: MeasureComplete,
 		Within:  setup.Duration{Duration: within},
 		Percent: 95,
 	}
 }
 
-// chain returns the documents of revisions 0 to n, each a change further.
-func chain(t interface{ Fatal(...any) }, n int) []*Document {
+// documentChain returns the documents of revisions 0 to n, each one change after the previous.
+func documentChain(t interface{ Fatal(...any) }, n int) []*Document {
 	docs := []*Document{{}}
 	for i := range n {
 		tg := target(time.Duration(i+1) * time.Second)
@@ -40,23 +40,23 @@
 
 func TestHolderOnlyMovesForward(t *testing.T) {
 	check.SetFatal(true)
-	docs := chain(t, 400)
+	docs := documentChain(t, 400)
 	rapid.Check(t, func(t *rapid.T) {
 		h := NewHolder(clockwork.NewFakeClock())
 		for _, i := range rapid.SliceOfN(rapid.IntRange(0, len(docs)-1), 1, 20).Draw(t, "revisions") {
 			before := h.Document().Revision
-			taken := h.Offer(docs[i])
-			if taken != (docs[i].Revision > before) || h.Document().Revision != max(before, docs[i].Revision) {
-				t.Fatalf("held %d, was offered %d, holds %d", before, docs[i].Revision, h.Document().Revision)
+			accepted := h.Offer(docs[i])
+			if accepted != (docs[i].Revision > before) || h.Document().Revision != max(before, docs[i].Revision) {
+				t.Fatalf("held revision %d, was offered %d, now holds %d", before, docs[i].Revision, h.Document().Revision)
 			}
 		}
 	})
 }
 
-func TestOneRevisionWithTwoContentsIsAViolation(t *testing.T) {
+func TestTwoContentsOfOneRevisionViolateInvariant(t *testing.T) {
 	check.SetFatal(false)
 	defer check.SetFatal(true)
-	docs := chain(t, 2)
+	docs := documentChain(t, 2)
 	h := NewHolder(clockwork.NewFakeClock())
 	h.Offer(docs[2])
 	other := *docs[2]
@@ -64,21 +64,21 @@
 	before := check.Violations(check.ConfigMonotonic)
 	h.Offer(&other)
 	if check.Violations(check.ConfigMonotonic) != before+1 {
-		t.Error("two contents of one revision were not noticed")
+		t.Error("two contents of one revision were not reported as a violation")
 	}
 }
 
-// sender takes the other side's frames into a holder.
-type sender struct {
+// holderSender applies the frames sent to it to a holder.
+type holderSender struct {
 	h *Holder
 }
 
-func (s sender) Send(f *proto.Frame) error {
-	return Take(s.h, f.Config)
+func (s holderSender) Send(f *proto.Frame) error {
+	return ApplyUpdate(s.h, f.Config)
 }
 
-func TestExchangeBringsAnyHolderUp(t *testing.T) {
-	docs := chain(t, 400)
+func TestExchangeUpdatesAnyHolder(t *testing.T) {
+	docs := documentChain(t, 400)
 	tests := []struct {
 		name string
 		have int
@@ -93,7 +93,7 @@
 			newest, behind := NewHolder(clockwork.NewFakeClock()), NewHolder(clockwork.NewFakeClock())
 			newest.Offer(docs[400])
 			behind.Offer(docs[tt.have])
-			Answer(newest, sender{h: behind}, &proto.ConfigAsk{Have: uint64(tt.have)})
+			SendUpdate(newest, holderSender{h: behind}, &proto.ConfigAsk{Have: uint64(tt.have)})
 			if got := behind.Document(); got.Revision != 400 || got.Classes[0].Target.Within != docs[400].Classes[0].Target.Within {
 				t.Errorf("holds revision %d with %+v", got.Revision, got.Classes)
 			}
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestApplyRefuses(t *testing.T) {
+func TestApplyRejectsInvalidChanges(t *testing.T) {
 	key := "0000000000000000000000000000000000000000000000000000000000000000"
 	account := func(name string) Op {
 		return Op{Kind: OpSetAccount, Account: &Account{Name: name, KeySHA256: []string{key}}}
@@ -111,7 +111,7 @@
 		ops  []Op
 	}{
 		{name: "no target time", ops: []Op{{Kind: OpSetClass, Class: &Class{Name: "a", Target: target(0)}}}},
-		{name: "percent above 100", ops: []Op{{Kind: OpSetClass, Class: &Class{Name: "a", Target: Target{Measure: MeasureWhole, Within: setup.Duration{Duration: time.Second}, Percent: 101}}}}},
+		{name: "percent above 100", ops: []Op{{Kind: OpSetClass, Class: &Class{Name: "a", Target: Target{Measure: MeasureComplete, Within: setup.Duration{Duration: time.Second}, Percent: 101}}}}},
 		{name: "unknown class", ops: []Op{{Kind: OpRemoveClass, Name: "nobody"}}},
 		{name: "missing value", ops: []Op{{Kind: OpSetAccount}}},
 		{name: "two accounts with one key", ops: []Op{account("a"), account("b")}},
--- a/config/doc.go
+++ b/config/doc.go
@@ -1,2 +1,3 @@
-// Package config defines the operators' configuration, its changes, its audit records and the rule that it only moves forward.
+// Package config defines the operators' configuration, its changes and its audit records, and
+// ensures that its revision only increases.
 package config
--- a/config/error.go
+++ b/config/error.go
@@ -7,14 +7,15 @@
 	"geraniumpass/setup"
 )
 
-// ConflictError says that another change was accepted since the revision that a change was made against.
+// ConflictError reports that another change was accepted after the revision that a change is based
+// on.
 type ConflictError struct {
 	Base    uint64
 	Current uint64
 	Others  []Record
 }
 
-// Error names the revisions and who made the other changes.
+// Error states both revisions and the authors of the other changes.
 func (e *ConflictError) Error() string {
 	who := make([]string, 0, len(e.Others))
 	for _, r := range e.Others {
@@ -23,12 +24,12 @@
 	return fmt.Sprintf("made against revision %d, but revision %d is in force (%s)", e.Base, e.Current, strings.Join(who, ", "))
 }
 
-// InvalidError lists what is wrong with a change.
+// InvalidError lists the validation findings of a change.
 type InvalidError struct {
 	Findings []*setup.ValueError
 }
 
-// Error returns one line a finding.
+// Error returns one line per finding.
 func (e *InvalidError) Error() string {
 	lines := make([]string, 0, len(e.Findings))
 	for _, f := range e.Findings {
@@ -37,23 +38,24 @@
 	return strings.Join(lines, "\n")
 }
 
-// UnsureError says that the key-value service did not confirm a change, which may or may not take effect.
-type UnsureError struct {
+// UnconfirmedError reports that the key-value service did not confirm a change, which may or may
+// not have been applied.
+type UnconfirmedError struct {
 	ID string
 }
 
-// Error names the change to look for.
-func (e *UnsureError) Error() string {
+// Error states the ID of the change.
+func (e *UnconfirmedError) Error() string {
 	return "change " + e.ID + " was not confirmed; look for its id in the audit trail before making it again"
 }
 
-// GapError says that records do not follow on the document they are applied to.
+// GapError reports that a record does not directly follow the revision it is applied to.
 type GapError struct {
 	Have uint64
 	Got  uint64
 }
 
-// Error names the two revisions.
+// Error states both revisions.
 func (e *GapError) Error() string {
 	return fmt.Sprintf("record of revision %d does not follow revision %d", e.Got, e.Have)
 }
--- a/config/exchange.go
+++ b/config/exchange.go
@@ -8,13 +8,14 @@
 	"geraniumpass/proto"
 )
 
-// Sender is the link on which an answer is sent.
+// Sender sends frames to a peer.
 type Sender interface {
 	Send(f *proto.Frame) error
 }
 
-// Answer sends what was accepted after the asker's revision: the records, or the whole document when they are gone.
-func Answer(h *Holder, to Sender, ask *proto.ConfigAsk) {
+// SendUpdate sends the peer the records after its revision, or the complete document if those
+// records have been trimmed. It sends nothing to a peer that is up to date.
+func SendUpdate(h *Holder, to Sender, ask *proto.ConfigAsk) {
 	doc := h.Document()
 	if ask.Have >= doc.Revision {
 		return
@@ -31,8 +32,9 @@
 	}
 }
 
-// Take offers what a peer sent to the holder.
-func Take(h *Holder, c *proto.Config) error {
+// ApplyUpdate offers the document or records received from a peer to the holder. It fails if they
+// cannot be decoded or applied.
+func ApplyUpdate(h *Holder, c *proto.Config) error {
 	if c.Document != nil {
 		doc := &Document{}
 		if err := json.Unmarshal(c.Document, doc); err != nil {
--- a/config/holder.go
+++ b/config/holder.go
@@ -9,13 +9,13 @@
 	"geraniumpass/check"
 )
 
-// keepRecords is the most records that a document carries.
-const keepRecords = 256
+// maxRecords is the maximum number of records in a document.
+const maxRecords = 256
 
-// PageRecords is the number of records in a page of the audit trail.
-const PageRecords = 128
+// AuditPageSize is the number of records in a page of the audit trail.
+const AuditPageSize = 128
 
-// Holder keeps the newest document that a process has seen; its revision never goes down.
+// Holder holds the newest document that a process has seen. Its revision never decreases.
 type Holder struct {
 	clock clockwork.Clock
 
@@ -25,7 +25,7 @@
 	changed   chan struct{}
 }
 
-// NewHolder returns a holder of the empty document of revision zero.
+// NewHolder returns a holder of the empty document at revision zero.
 func NewHolder(clock clockwork.Clock) *Holder {
 	return &Holder{
 		clock:   clock,
@@ -34,19 +34,19 @@
 	}
 }
 
-// Document returns the newest document, which is never changed in place.
+// Document returns the newest document. Documents are never modified in place.
 func (h *Holder) Document() *Document {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.doc
 }
 
-// Offer takes a document from any source and returns true when it is newer than the one held.
+// Offer stores doc if it is newer than the held document and reports whether it was.
 func (h *Holder) Offer(doc *Document) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if doc.Revision == h.doc.Revision {
-		check.Assert(check.ConfigMonotonic, lastID(doc) == lastID(h.doc), "revision %d holds change %q and also %q", doc.Revision, lastID(h.doc), lastID(doc))
+		check.Assert(check.ConfigMonotonic, lastChangeID(doc) == lastChangeID(h.doc), "revision %d holds change %q and also %q", doc.Revision, lastChangeID(h.doc), lastChangeID(doc))
 	}
 	if doc.Revision <= h.doc.Revision {
 		return false
@@ -57,7 +57,8 @@
 	return true
 }
 
-// OfferRecords applies the records that follow the held revision; a gap fails with a *GapError and changes nothing.
+// OfferRecords applies the records that follow the held revision. It fails with a *GapError on a
+// gap in the revisions; on any error the held document is unchanged.
 func (h *Holder) OfferRecords(records []Record) error {
 	doc := h.Document()
 	for _, r := range records {
@@ -74,14 +75,15 @@
 	return nil
 }
 
-// Confirm notes that the key-value service has just said that the held revision is the newest.
+// Confirm records that the key-value service has just confirmed the held revision as the newest.
 func (h *Holder) Confirm() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.confirmed = h.clock.Now()
 }
 
-// Age returns how long ago the held revision was last known to be the newest; it is negative when it never was.
+// Age returns the time since the held revision was last confirmed as the newest, or a negative
+// duration if it never was.
 func (h *Holder) Age() time.Duration {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
@@ -91,19 +93,21 @@
 	return h.clock.Now().Sub(h.confirmed)
 }
 
-// Changed returns a channel that is closed when a newer document is held.
+// Changed returns a channel that is closed when a newer document is stored.
 func (h *Holder) Changed() <-chan struct{} {
 	h.mu.RLock()
 	defer h.mu.RUnlock()
 	return h.changed
 }
 
-// Since returns the records after a revision, and false when some of them are no longer in the document.
+// Since returns the records after a revision, and reports whether the document still contains all
+// of them.
 func (h *Holder) Since(revision uint64) ([]Record, bool) {
 	return h.Document().Since(revision)
 }
 
-// Since returns the records after a revision, and false when some of them are no longer in the document.
+// Since returns the records after a revision, and reports whether the document still contains all
+// of them.
 func (d *Document) Since(revision uint64) ([]Record, bool) {
 	if revision >= d.Revision {
 		return nil, true
@@ -115,17 +119,18 @@
 	return d.Records[revision-first:], true
 }
 
-// Trim splits off the records that a document has no room for: the same ones in every process, since they leave in whole pages.
-func Trim(d *Document) (short *Document, page []Record) {
-	if len(d.Records) <= keepRecords {
+// Trim splits the oldest page of records off a document that has too many. Records are removed in
+// whole pages, so that every process removes the same ones.
+func Trim(d *Document) (trimmed *Document, page []Record) {
+	if len(d.Records) <= maxRecords {
 		return d, nil
 	}
 	c := *d
-	c.Records = d.Records[PageRecords:]
-	return &c, d.Records[:PageRecords]
+	c.Records = d.Records[AuditPageSize:]
+	return &c, d.Records[:AuditPageSize]
 }
 
-func lastID(d *Document) string {
+func lastChangeID(d *Document) string {
 	if len(d.Records) == 0 {
 		return ""
 	}
--- a/config/record.go
+++ b/config/record.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Record is the audit record of one accepted change and carries the change itself.
+// Record is the audit record of an accepted change and contains the change itself.
 type Record struct {
 	ID       string    `json:"id" validate:"required,max=128"`
 	Revision uint64    `json:"revision"`
@@ -12,10 +12,10 @@
 	Ops      []Op      `json:"ops" validate:"min=1,dive"`
 }
 
-// OpKind names what an Op does.
+// OpKind is the kind of an Op.
 type OpKind string
 
-// The kinds of change.
+// The kinds of operation.
 const (
 	OpSetClass      OpKind = "set_class"
 	OpRemoveClass   OpKind = "remove_class"
@@ -28,7 +28,8 @@
 	OpUndrain       OpKind = "undrain"
 )
 
-// Op is one step of a change; Name is the thing it removes, drains or retargets, and one of the pointers is the new value.
+// Op is one operation of a change. Name identifies what is removed, drained or retargeted; one of
+// the pointers holds the new value.
 type Op struct {
 	Kind    OpKind   `json:"kind" validate:"required,oneof=set_class remove_class set_target set_account remove_account set_group remove_group drain undrain"`
 	Name    string   `json:"name,omitempty" validate:"max=128"`
--- a/deploy/deployment.go
+++ b/deploy/deployment.go
@@ -9,35 +9,37 @@
 )
 
 const (
-	linkKey     = "link-key-of-the-example"
-	operatorKey = "operator-key-of-the-example"
-	readyTime   = 20 * time.Second
-	pollTime    = 20 * time.Millisecond
-	stopTime    = 20 * time.Second
-	engineRate  = 400
+	linkKey              = "link-key-of-the-example"
+	operatorKey          = "operator-key-of-the-example"
+	readyTimeout         = 20 * time.Second
+	pollInterval         = 20 * time.Millisecond
+	stopTimeout          = 20 * time.Second
+	expertLoadsPerSecond = 400
 )
 
-// Deployment is a running deployment with everything that a test may break.
+// Deployment is a running deployment with access to every component that a test may fault.
 type Deployment struct {
-	Plan     *Plan
-	Dir      string
-	KeyValue *emul.Store
-	List     *stand.List
-	Runs     *stand.Counter
-	Engines  map[string]*stand.Engine
-	Plains   map[string]*stand.Plain
-	Groups   map[string]*stand.Group
-	Entries  []*Process
-	Agents   map[string]*Process
-	// StoreRelays leads from a failure domain to the key-value service, and AgentRelays from a domain to an agent.
+	Plan         *Plan
+	Dir          string
+	KeyValue     *emul.Store
+	InstanceList *stand.List
+	Runs         *stand.Counter
+	Engines      map[string]*stand.Engine
+	Plains       map[string]*stand.Plain
+	Groups       map[string]*stand.Group
+	Entries      []*Process
+	Agents       map[string]*Process
+	// StoreRelays holds the relay from each failure domain to the key-value service, and
+	// AgentRelays the relays from each domain to each agent.
 	StoreRelays map[string]*stand.Relay
 	AgentRelays map[string]map[string]*stand.Relay
-	// ListServers shows each domain the addresses of its own relays.
-	listServers map[string]*stand.List
+	// domainLists holds each domain's instance list, which contains the addresses of that domain's
+	// relays.
+	domainLists map[string]*stand.List
 	binary      string
 }
 
-// Start brings a deployment up and returns when every entry is ready.
+// Start starts a deployment and returns once every entry is ready.
 func Start(plan *Plan, opt Options) (*Deployment, error) {
 	d := &Deployment{
 		Plan:        plan,
@@ -49,7 +51,7 @@
 		Agents:      make(map[string]*Process),
 		StoreRelays: make(map[string]*stand.Relay),
 		AgentRelays: make(map[string]map[string]*stand.Relay),
-		listServers: make(map[string]*stand.List),
+		domainLists: make(map[string]*stand.List),
 		binary:      opt.Binary,
 	}
 	if err := d.start(opt); err != nil {
@@ -72,12 +74,12 @@
 	if err != nil {
 		return err
 	}
-	d.List = stand.NewList("127.0.0.1:0", append(rows, entryRows...))
-	if err := d.List.Server.Start(); err != nil {
+	d.InstanceList = stand.NewList("127.0.0.1:0", append(rows, entryRows...))
+	if err := d.InstanceList.Server.Start(); err != nil {
 		return err
 	}
 	for _, domain := range d.Plan.Domains {
-		if err := d.startDomain(domain, rows, entryRows, opt.Relays); err != nil {
+		if err := d.startRelays(domain, rows, entryRows, opt.Relays); err != nil {
 			return err
 		}
 	}
@@ -87,21 +89,21 @@
 		}
 	}
 	if opt.NoConfiguration {
-		return d.waitEntries("/livez")
+		return d.waitAllEntries("/livez")
 	}
-	if err := d.waitEntries("/livez"); err != nil {
+	if err := d.waitAllEntries("/livez"); err != nil {
 		return err
 	}
 	if err := d.Configure(); err != nil {
 		return err
 	}
-	if err := d.waitEntries("/readyz"); err != nil {
+	if err := d.waitAllEntries("/readyz"); err != nil {
 		return err
 	}
 	return d.waitLinks()
 }
 
-// Operator returns the operator's client of one entry.
+// Operator returns an operator client for one entry.
 func (d *Deployment) Operator(entry int) *oper.Client {
 	return &oper.Client{
 		Address: d.Entries[entry].Control,
@@ -109,18 +111,18 @@
 	}
 }
 
-// SetLeaving marks an instance on every view of the instance list.
+// SetLeaving sets whether an instance is marked as leaving in every instance list.
 func (d *Deployment) SetLeaving(id string, leaving bool) {
-	d.List.SetLeaving(id, leaving)
-	for _, l := range d.listServers {
+	d.InstanceList.SetLeaving(id, leaving)
+	for _, l := range d.domainLists {
 		l.SetLeaving(id, leaving)
 	}
 }
 
-// SetListFault changes how the instance list misbehaves for every domain.
+// SetListFault sets the fault of every instance list.
 func (d *Deployment) SetListFault(f stand.Fault) {
-	d.List.SetFault(f)
-	for _, l := range d.listServers {
+	d.InstanceList.SetFault(f)
+	for _, l := range d.domainLists {
 		l.SetFault(f)
 	}
 }
--- a/deploy/doc.go
+++ b/deploy/doc.go
@@ -1,2 +1,3 @@
-// Package deploy starts a whole deployment on the loopback interface, as real processes before stand-ins, for the demonstration, the tests and the soak.
+// Package deploy starts a complete deployment on the loopback interface for the demo, the tests and
+// the soak, with real processes in front of stand-in upstreams.
 package deploy
--- a/deploy/entries.go
+++ b/deploy/entries.go
@@ -48,7 +48,7 @@
 		Control: p.Control,
 		Platform: setup.Platform{
 			KeyValue:     d.KeyValue.Server.Address(),
-			InstanceList: d.List.Server.Address(),
+			InstanceList: d.InstanceList.Server.Address(),
 		},
 		LinkKey:     linkKey,
 		OperatorKey: operatorKey,
@@ -57,7 +57,7 @@
 	}
 	if r, ok := d.StoreRelays[p.Domain]; ok {
 		cfg.Platform.KeyValue = r.Address()
-		cfg.Platform.InstanceList = d.listServers[p.Domain].Server.Address()
+		cfg.Platform.InstanceList = d.domainLists[p.Domain].Server.Address()
 	}
 	for _, in := range rows {
 		if in.Domain == p.Domain {
@@ -67,8 +67,9 @@
 	return d.launch(p, cfg)
 }
 
-// startDomain gives a failure domain its own way to the platform and to the agents.
-func (d *Deployment) startDomain(domain string, rows, entryRows []core.Instance, relays bool) error {
+// startRelays gives a failure domain its own relays to the platform and to the agents, if relays is
+// set.
+func (d *Deployment) startRelays(domain string, rows, entryRows []core.Instance, relays bool) error {
 	if !relays {
 		return nil
 	}
@@ -89,6 +90,6 @@
 		seen = append(seen, in)
 	}
 	l := stand.NewList("127.0.0.1:0", append(seen, entryRows...))
-	d.listServers[domain] = l
+	d.domainLists[domain] = l
 	return l.Server.Start()
 }
--- a/deploy/launch.go
+++ b/deploy/launch.go
@@ -22,7 +22,7 @@
 	return p.start()
 }
 
-// Launch starts one process of a role with the given settings, outside of a deployment.
+// Launch starts one process of a role with the given settings outside a deployment.
 func Launch(binary, dir, id string, role string, control string, cfg any) (*Process, error) {
 	d := &Deployment{
 		Dir:    dir,
--- a/deploy/options.go
+++ b/deploy/options.go
@@ -1,13 +1,13 @@
 package deploy
 
-// Options changes how a deployment is started.
+// Options configures how a deployment is started.
 type Options struct {
-	// Binary is the geraniumpass program.
+	// Binary is the path of the geraniumpass binary.
 	Binary string
-	// Dir takes settings and logs.
+	// Dir is the directory for settings files and logs.
 	Dir string
-	// Relays puts a relay before every agent and before the key-value service.
+	// Relays puts a relay in front of every agent and of the key-value service.
 	Relays bool
-	// NoConfiguration leaves it to the caller to apply the first configuration.
+	// NoConfiguration leaves applying the initial configuration to the caller.
 	NoConfiguration bool
 }
--- a/deploy/port.go
+++ b/deploy/port.go
@@ -9,8 +9,8 @@
 	"github.com/zeebo/errs/v2"
 )
 
-// The ports handed out lie below those that the kernel gives to outgoing connections, which would otherwise take them
-// between the moment they are chosen and the moment a process listens there.
+// Ports are allocated below the kernel's ephemeral range. Otherwise an outgoing connection could
+// take a port between its allocation and the moment a process listens on it.
 const (
 	firstPort = 12_000
 	lastPort  = 30_000
@@ -22,7 +22,7 @@
 	nextPort.Store(firstPort + rand.Int64N((lastPort-firstPort)/2))
 }
 
-// FreeAddress returns an address of the loopback interface on which nobody listens, a new one each time.
+// FreeAddress returns an unused loopback address, a different one on each call.
 func FreeAddress() (string, error) {
 	for {
 		port := nextPort.Add(1)
--- a/deploy/process.go
+++ b/deploy/process.go
@@ -12,12 +12,13 @@
 	"geraniumpass/check"
 )
 
-// Process is one process of the system; the harness restarts it as the platform's supervisor would.
+// Process is one process of the system, which a harness can restart as the platform's supervisor
+// would.
 type Process struct {
 	ID     string
 	Role   string
 	Domain string
-	// Control is where operators and links reach it, and Listen where callers reach an entry.
+	// Control is the address for operators and links, and Listen an entry's address for callers.
 	Control string
 	Listen  string
 
@@ -51,29 +52,29 @@
 	return nil
 }
 
-// Kill ends the process without warning and waits until it is gone.
+// Kill sends SIGKILL and waits for the process to exit.
 func (p *Process) Kill() {
 	_ = p.cmd.Process.Kill()
 	<-p.done
 }
 
-// Freeze stops the process where it stands.
-func (p *Process) Freeze() {
+// Suspend pauses the process with SIGSTOP.
+func (p *Process) Suspend() {
 	_ = p.cmd.Process.Signal(syscall.SIGSTOP)
 }
 
-// Thaw lets a frozen process go on.
-func (p *Process) Thaw() {
+// Resume continues a suspended process.
+func (p *Process) Resume() {
 	_ = p.cmd.Process.Signal(syscall.SIGCONT)
 }
 
-// Terminate asks the process to stop gracefully and returns a channel that is closed when it has.
+// Terminate sends SIGTERM and returns a channel that is closed when the process has exited.
 func (p *Process) Terminate() <-chan struct{} {
 	_ = p.cmd.Process.Signal(syscall.SIGTERM)
 	return p.done
 }
 
-// Running returns true while the process lives.
+// Running reports whether the process has not exited.
 func (p *Process) Running() bool {
 	select {
 	case <-p.done:
@@ -83,23 +84,24 @@
 	}
 }
 
-// Err returns how the process ended; call it only after it has.
+// Err returns the exit error of the process. It must be called only after the process has exited.
 func (p *Process) Err() error {
 	return p.err
 }
 
-// PID returns the process's number.
+// PID returns the process ID.
 func (p *Process) PID() int {
 	return p.cmd.Process.Pid
 }
 
-// Restart starts the process again after it has ended.
+// Restart waits for the process to exit and starts it again.
 func (p *Process) Restart() error {
 	<-p.done
 	return p.start()
 }
 
-// StopWithin stops the process gracefully and kills it when that takes longer than limit, which it reports as false.
+// StopWithin terminates the process, kills it if it has not exited within limit, and reports
+// whether it exited in time.
 func (p *Process) StopWithin(limit time.Duration) bool {
 	select {
 	case <-p.Terminate():
--- a/deploy/ready.go
+++ b/deploy/ready.go
@@ -14,29 +14,29 @@
 	"geraniumpass/stand"
 )
 
-// TimeoutError says what did not come about in time.
+// TimeoutError reports that a condition was not met in time.
 type TimeoutError struct {
 	What string
 }
 
-// Error returns what was waited for.
+// Error states the condition.
 func (e *TimeoutError) Error() string {
 	return "timed out waiting for " + e.What
 }
 
-// Until polls a condition and fails with a *TimeoutError after limit.
+// Until polls condition until it is true and fails with a *TimeoutError after limit.
 func Until(what string, limit time.Duration, condition func() bool) error {
 	end := time.Now().Add(limit)
 	for !condition() {
 		if time.Now().After(end) {
 			return &TimeoutError{What: what}
 		}
-		time.Sleep(pollTime)
+		time.Sleep(pollInterval)
 	}
 	return nil
 }
 
-func (d *Deployment) waitEntries(path string) error {
+func (d *Deployment) waitAllEntries(path string) error {
 	for _, p := range d.Entries {
 		if err := d.WaitEntry(p, path); err != nil {
 			return err
@@ -47,13 +47,14 @@
 
 // WaitEntry waits until an entry answers 200 on a path of its control address.
 func (d *Deployment) WaitEntry(p *Process, path string) error {
-	return Until(p.ID+" "+path, readyTime, func() bool {
+	return Until(p.ID+" "+path, readyTimeout, func() bool {
 		status, _, err := fasthttp.GetTimeout(nil, "http://"+p.Control+path, time.Second)
 		return err == nil && status == fasthttp.StatusOK
 	})
 }
 
-// waitLinks waits until every entry can use every upstream.
+// waitLinks waits until every entry can use every upstream, or half of its link limit if that is
+// fewer.
 func (d *Deployment) waitLinks() error {
 	for i := range d.Entries {
 		n := len(d.Agents)
@@ -67,9 +68,9 @@
 	return nil
 }
 
-// WaitUsable waits until an entry can use n upstreams.
+// WaitUsable waits until entry i can use at least n upstreams.
 func (d *Deployment) WaitUsable(i, n int) error {
-	return Until(fmt.Sprintf("%s to use %d upstreams", d.Entries[i].ID, n), readyTime, func() bool {
+	return Until(fmt.Sprintf("%s to use %d upstreams", d.Entries[i].ID, n), readyTimeout, func() bool {
 		s, err := d.Operator(i).Status()
 		if err != nil {
 			return false
@@ -101,7 +102,7 @@
 	return err
 }
 
-// startGroup starts the rank group of a service, if it has one.
+// startGroup starts the rank group of a service, or returns nil if the service has none.
 func (d *Deployment) startGroup(s Service) (*stand.Group, error) {
 	if s.Group == "" {
 		return nil, nil
@@ -114,7 +115,7 @@
 	for i := range popularity {
 		popularity[i] = 100
 	}
-	g := stand.NewGroup(s.Servers, first, popularity, s.StepTime.Duration, engineRate, s.ChecksFence)
+	g := stand.NewGroup(s.Servers, first, popularity, s.StepTime.Duration, expertLoadsPerSecond, s.ChecksFence)
 	d.Groups[s.Group] = g
 	return g, nil
 }
--- a/deploy/stop.go
+++ b/deploy/stop.go
@@ -2,11 +2,11 @@
 
 import "os"
 
-// Close kills every process and ends every stand-in.
+// Close kills every process and closes every stand-in.
 func (d *Deployment) Close() {
 	for _, p := range d.processes() {
 		if p.cmd != nil && p.Running() {
-			p.Thaw()
+			p.Resume()
 			p.Kill()
 		}
 	}
@@ -27,18 +27,19 @@
 			r.Close()
 		}
 	}
-	for _, l := range d.listServers {
+	for _, l := range d.domainLists {
 		l.Server.Stop()
 	}
-	if d.List != nil {
-		d.List.Server.Stop()
+	if d.InstanceList != nil {
+		d.InstanceList.Server.Stop()
 	}
 	if d.KeyValue != nil {
 		d.KeyValue.Close()
 	}
 }
 
-// Stop ends every process gracefully and returns the identities of those that had to be killed or ended badly.
+// Stop terminates every process and returns the IDs of those that had to be killed or exited with
+// an error.
 func (d *Deployment) Stop() []string {
 	var bad []string
 	for _, p := range d.Entries {
@@ -48,7 +49,7 @@
 		if !p.Running() {
 			continue
 		}
-		if !p.StopWithin(stopTime) || p.Err() != nil {
+		if !p.StopWithin(stopTimeout) || p.Err() != nil {
 			bad = append(bad, p.ID)
 		}
 	}
--- a/deploy/upstreams.go
+++ b/deploy/upstreams.go
@@ -8,7 +8,7 @@
 	"geraniumpass/stand"
 )
 
-// startUpstreams starts every upstream with its agent and returns their rows of the instance list.
+// startUpstreams starts every upstream with its agent and returns their rows for the instance list.
 func (d *Deployment) startUpstreams() ([]core.Instance, error) {
 	var rows []core.Instance
 	for _, s := range d.Plan.Services {
--- a/entry/callers.go
+++ b/entry/callers.go
@@ -114,7 +114,7 @@
 		return r, core.NotRun(core.ReasonUnauthorized, "a bearer key is needed in the Authorization header")
 	}
 	sum := sha256.Sum256([]byte(token))
-	account, ok := doc.AccountOf(hex.EncodeToString(sum[:]))
+	account, ok := doc.AccountByKey(hex.EncodeToString(sum[:]))
 	if !ok {
 		return r, core.NotRun(core.ReasonUnauthorized, "the bearer key belongs to no account")
 	}
--- a/entry/changer.go
+++ b/entry/changer.go
@@ -36,7 +36,7 @@
 
 // apply commits record r made against revision base and returns the new revision once the key-value
 // service has confirmed it. It fails with a *config.ConflictError, *config.InvalidError,
-// *config.UnsureError or *store.DownError.
+// *config.UnconfirmedError or *store.DownError.
 func (c *configWriter) apply(ctx context.Context, base uint64, r config.Record) (uint64, error) {
 	v, err := c.store.Get(ctx, configKey)
 	if err != nil {
@@ -89,7 +89,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return 0, &config.UnsureError{ID: id}
+			return 0, &config.UnconfirmedError{ID: id}
 		case <-c.clock.After(swapRetryDelay):
 		}
 	}
@@ -106,7 +106,7 @@
 		return done.Revision, nil
 	}
 	if _, all := doc.Since(next.Revision - 1); !all {
-		return 0, &config.UnsureError{ID: id}
+		return 0, &config.UnconfirmedError{ID: id}
 	}
 	return 0, newConflictError(next.Revision-1, doc)
 }
@@ -140,7 +140,7 @@
 	}
 	var out []config.Record
 	inDoc := doc.Revision - uint64(len(doc.Records)) + 1
-	for start := auditPageStart(first); start < inDoc; start += config.PageRecords {
+	for start := auditPageStart(first); start < inDoc; start += config.AuditPageSize {
 		v, err := c.store.Get(ctx, auditPageKey(start))
 		if err != nil {
 			return nil, errs.Wrap(err)
@@ -161,7 +161,7 @@
 }
 
 func auditPageStart(revision uint64) uint64 {
-	return (max(revision, 1)-1)/config.PageRecords*config.PageRecords + 1
+	return (max(revision, 1)-1)/config.AuditPageSize*config.AuditPageSize + 1
 }
 
 func auditPageKey(first uint64) string {
--- a/entry/finish.go
+++ b/entry/finish.go
@@ -16,23 +16,23 @@
 	if r.class.Target.Measure == config.MeasureFirstToken && !r.firstDataAt.IsZero() {
 		measured = r.firstDataAt.Sub(r.startedAt)
 	}
-	result := meter.ResultWhole
+	result := meter.ResultComplete
 	var refusal *core.Refusal
 	var gone *callerGoneError
 	switch {
 	case errors.As(err, &refusal) && refusal.Outcome == core.OutcomeNotRun:
-		result = meter.ResultNotRun
+		result = meter.ResultNotExecuted
 	case errors.As(err, &refusal):
 		result = meter.ResultUnknown
 	case errors.As(err, &gone):
-		result = meter.ResultGone
+		result = meter.ResultCallerGone
 	}
 	e.meter.Observe(meter.Sample{
 		Class:  r.class.Name,
 		Domain: r.domain,
 		Result: result,
 		Took:   measured,
-		OnTime: result == meter.ResultWhole && measured <= r.class.Target.Within.Duration,
+		OnTime: result == meter.ResultComplete && measured <= r.class.Target.Within.Duration,
 	})
 	if err != nil {
 		e.log.Info("request ended", "request", r.id, "account", r.account, "class", r.class.Name, "result", result, "took", took, "error", err)
--- a/entry/mates.go
+++ b/entry/mates.go
@@ -135,9 +135,9 @@
 	case f.Report != nil:
 		m.requestIfBehind(l, f.Report.Revision)
 	case f.ConfigAsk != nil:
-		config.Answer(m.e.config, l, f.ConfigAsk)
+		config.SendUpdate(m.e.config, l, f.ConfigAsk)
 	case f.Config != nil:
-		if err := config.Take(m.e.config, f.Config); err != nil {
+		if err := config.ApplyUpdate(m.e.config, f.Config); err != nil {
 			m.e.log.Warn("failed to apply configuration", "peer", l.Peer.ID, "error", err)
 		}
 	}
--- a/entry/operator.go
+++ b/entry/operator.go
@@ -110,7 +110,7 @@
 func changeStatus(err error) int {
 	var lost *config.ConflictError
 	var invalid *config.InvalidError
-	var unsure *config.UnsureError
+	var unsure *config.UnconfirmedError
 	switch {
 	case errors.As(err, &lost):
 		return fiber.StatusConflict
@@ -126,8 +126,8 @@
 	reply := ChangeReply{Detail: err.Error()}
 	var lost *config.ConflictError
 	var invalid *config.InvalidError
-	var unsure *config.UnsureError
-	var report *setup.Report
+	var unsure *config.UnconfirmedError
+	var report *setup.ValidationError
 	var down *store.DownError
 	switch {
 	case errors.As(err, &lost):
--- a/entry/peerframe.go
+++ b/entry/peerframe.go
@@ -20,12 +20,12 @@
 	case f.OrderReply != nil:
 		p.e.groups.handleReply(p.id, f.OrderReply)
 	case f.Config != nil:
-		if err := config.Take(p.e.config, f.Config); err != nil {
+		if err := config.ApplyUpdate(p.e.config, f.Config); err != nil {
 			p.e.log.Warn("failed to apply configuration", "agent", p.id, "error", err)
 		}
 	case f.ConfigAsk != nil:
 		if l := p.currentLink(); l != nil {
-			config.Answer(p.e.config, l, f.ConfigAsk)
+			config.SendUpdate(p.e.config, l, f.ConfigAsk)
 		}
 	}
 }
--- a/gate/serve.go
+++ b/gate/serve.go
@@ -229,12 +229,12 @@
 func resultOf(status int) meter.Result {
 	switch {
 	case status == statusCallerGone:
-		return meter.ResultGone
+		return meter.ResultCallerGone
 	case status >= 200 && status < 300:
-		return meter.ResultWhole
+		return meter.ResultComplete
 	case status == http.StatusServiceUnavailable, status == http.StatusTooManyRequests,
 		status >= 400 && status < 500:
-		return meter.ResultNotRun
+		return meter.ResultNotExecuted
 	}
 	return meter.ResultUnknown
 }
--- a/group/agent.go
+++ b/group/agent.go
@@ -210,7 +210,7 @@
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if !a.known || rep.Epoch != a.report.Epoch || rep.Open != a.report.Open {
-		a.Log.Info("rank state changed", "group", rep.Group, "rank", rep.Rank, "size", rep.Size, "epoch", rep.Epoch, "open", rep.Open, "map", rep.Map)
+		a.Log.Info("rank", "group", rep.Group, "rank", rep.Rank, "size", rep.Size, "epoch", rep.Epoch, "open", rep.Open, "map", rep.Map)
 	}
 	if slow := rep.Pace >= slowLogPace; slow != a.slow {
 		a.slow = slow
--- a/group/lead.go
+++ b/group/lead.go
@@ -129,7 +129,7 @@
 // lead leads the group until ctx ends or a newer leader is observed.
 func (m *Member) lead(ctx context.Context, rep Report, fence int64) {
 	leaderTerms.Add(1)
-	m.Log.Info("leading group", "group", rep.Group, "fence", fence, "size", rep.Size)
+	m.Log.Info("leading", "group", rep.Group, "fence", fence, "size", rep.Size)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	d := &leadership{
--- a/group/orders.go
+++ b/group/orders.go
@@ -85,7 +85,7 @@
 		}
 		f.ListsMap, f.Lists = version, lists
 	}
-	a.Log.Info("order answered", "op", o.Op.String(), "fence", o.Fence, "version", o.Version, "step", o.Step, "epoch", o.Epoch,
+	a.Log.Info("order", "op", o.Op.String(), "fence", o.Fence, "version", o.Version, "step", o.Step, "epoch", o.Epoch,
 		"ok", f.OK, "refused", f.Refused, "at", rep.Step, "map", rep.Map, "held", rep.Held, "armed", rep.Armed)
 	_ = l.Send(&proto.Frame{RankState: f})
 }
--- a/logio/doc.go
+++ b/logio/doc.go
@@ -1,2 +1,2 @@
-// Package logio takes log lines without ever holding up who writes them.
+// Package logio provides a log writer that never blocks its callers.
 package logio
--- a/logio/writer.go
+++ b/logio/writer.go
@@ -7,31 +7,32 @@
 	"sync/atomic"
 )
 
-// queued bounds the lines that wait to be written: some seconds of an entry's usual lines.
-const queued = 1024
+// maxQueuedLines bounds the queue of lines to write. It holds several seconds of an entry's usual
+// output.
+const maxQueuedLines = 1024
 
 var droppedLines = expvar.NewInt("log_lines_dropped")
 
-// Writer hands lines to a goroutine of its own and drops what doesn't fit its queue, counted.
+// Writer writes lines asynchronously and counts and drops lines that do not fit in its queue.
 type Writer struct {
-	to      io.Writer
+	out     io.Writer
 	lines   chan []byte
 	dropped atomic.Int64
 	done    chan struct{}
 }
 
-// New returns a writer to to.
-func New(to io.Writer) *Writer {
+// New returns a Writer that writes to out.
+func New(out io.Writer) *Writer {
 	w := &Writer{
-		to:    to,
-		lines: make(chan []byte, queued),
+		out:   out,
+		lines: make(chan []byte, maxQueuedLines),
 		done:  make(chan struct{}),
 	}
 	go w.run()
 	return w
 }
 
-// Write takes a copy of a line and never fails.
+// Write queues a copy of p, or drops it if the queue is full. It never blocks or fails.
 func (w *Writer) Write(p []byte) (int, error) {
 	select {
 	case w.lines <- append([]byte(nil), p...):
@@ -42,7 +43,7 @@
 	return len(p), nil
 }
 
-// Close writes what is queued; nothing may be written afterwards.
+// Close writes the queued lines and stops the writer. Write must not be called afterwards.
 func (w *Writer) Close() {
 	close(w.lines)
 	<-w.done
@@ -52,9 +53,9 @@
 	defer close(w.done)
 	for line := range w.lines {
 		if n := w.dropped.Swap(0); n > 0 {
-			_, _ = fmt.Fprintf(w.to, `{"@level":"warn","@message":"log lines dropped","lines":%d}`+"\n", n)
+			_, _ = fmt.Fprintf(w.out, `{"@level":"warn","@message":"log lines dropped","lines":%d}`+"\n", n)
 		}
-		// There is nowhere to report that the log itself can't be written.
-		_, _ = w.to.Write(line)
+		// The error is ignored because there is nowhere to report that the log cannot be written.
+		_, _ = w.out.Write(line)
 	}
 }
--- a/meter/doc.go
+++ b/meter/doc.go
@@ -1,2 +1,2 @@
-// Package meter counts requests by class and failure domain and keeps their latencies as histograms in expvar.
+// Package meter counts requests and records latency histograms by class and failure domain.
 package meter
--- a/meter/meter.go
+++ b/meter/meter.go
@@ -8,18 +8,18 @@
 	"github.com/jonboulle/clockwork"
 )
 
-// Result is how a request ended.
+// Result is the outcome of a request.
 type Result string
 
 // The results of a request.
 const (
-	ResultWhole   Result = "whole"
-	ResultNotRun  Result = "not_run"
-	ResultUnknown Result = "unknown"
-	ResultGone    Result = "caller_gone"
+	ResultComplete    Result = "whole"
+	ResultNotExecuted Result = "not_run"
+	ResultUnknown     Result = "unknown"
+	ResultCallerGone  Result = "caller_gone"
 )
 
-// Sample is one ended request.
+// Sample describes one finished request.
 type Sample struct {
 	Class  string
 	Domain string
@@ -29,15 +29,16 @@
 }
 
 const (
-	lowestMicros  = 10
-	highestMicros = 600_000_000
-	digits        = 2
-	// windowSlots and slotTime make the sliding minute over which a target counts as met or missed.
-	windowSlots = 6
-	slotTime    = 10 * time.Second
+	lowestMicros      = 10
+	highestMicros     = 600_000_000
+	significantDigits = 2
+	// windowSlots and slotDuration define the one-minute sliding window over which the share of
+	// requests on time is calculated.
+	windowSlots  = 6
+	slotDuration = 10 * time.Second
 )
 
-// Meter is safe for use by several goroutines; each class and domain has its own lock.
+// Meter counts requests. It is safe for concurrent use; each class and domain has its own lock.
 type Meter struct {
 	clock clockwork.Clock
 
@@ -58,12 +59,12 @@
 }
 
 type slot struct {
-	at     int64
+	index  int64
 	onTime int64
-	all    int64
+	total  int64
 }
 
-// New returns an empty meter.
+// New returns an empty Meter.
 func New(clock clockwork.Clock) *Meter {
 	return &Meter{
 		clock:  clock,
@@ -71,30 +72,30 @@
 	}
 }
 
-// Observe counts one ended request.
+// Observe records one finished request.
 func (m *Meter) Observe(s Sample) {
-	at := m.clock.Now().UnixNano() / int64(slotTime)
-	se := m.get(seriesKey{
+	index := m.clock.Now().UnixNano() / int64(slotDuration)
+	se := m.seriesFor(seriesKey{
 		class:  s.Class,
 		domain: s.Domain,
 	})
 	se.mu.Lock()
 	defer se.mu.Unlock()
 	se.counts[s.Result]++
-	sl := &se.slots[at%windowSlots]
-	if sl.at != at {
-		*sl = slot{at: at}
+	sl := &se.slots[index%windowSlots]
+	if sl.index != index {
+		*sl = slot{index: index}
 	}
-	sl.all++
+	sl.total++
 	if s.OnTime {
 		sl.onTime++
 	}
-	if s.Result == ResultWhole {
+	if s.Result == ResultComplete {
 		_ = se.hist.RecordValue(min(max(s.Took.Microseconds(), lowestMicros), highestMicros))
 	}
 }
 
-func (m *Meter) get(k seriesKey) *series {
+func (m *Meter) seriesFor(k seriesKey) *series {
 	m.mu.RLock()
 	se, ok := m.series[k]
 	m.mu.RUnlock()
@@ -108,13 +109,14 @@
 	}
 	se = &series{
 		counts: make(map[Result]int64),
-		hist:   hdrhistogram.New(lowestMicros, highestMicros, digits),
+		hist:   hdrhistogram.New(lowestMicros, highestMicros, significantDigits),
 	}
 	m.series[k] = se
 	return se
 }
 
-// Row is what was counted for one class in one failure domain; the share is over the last minute.
+// Row holds the counts and latencies of one class in one failure domain. Recent and OnTimeShare
+// cover the last minute.
 type Row struct {
 	Class       string           `json:"class"`
 	Domain      string           `json:"domain"`
@@ -126,19 +128,19 @@
 	OnTimeShare float64          `json:"on_time_share"`
 }
 
-// Rows returns all that was counted.
+// Rows returns one row per class and failure domain.
 func (m *Meter) Rows() []Row {
-	now := m.clock.Now().UnixNano() / int64(slotTime)
+	current := m.clock.Now().UnixNano() / int64(slotDuration)
 	m.mu.RLock()
 	defer m.mu.RUnlock()
 	out := make([]Row, 0, len(m.series))
 	for k, se := range m.series {
-		out = append(out, se.row(k, now))
+		out = append(out, se.row(k, current))
 	}
 	return out
 }
 
-func (s *series) row(k seriesKey, now int64) Row {
+func (s *series) row(k seriesKey, current int64) Row {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	r := Row{
@@ -154,8 +156,8 @@
 	}
 	onTime := int64(0)
 	for _, sl := range s.slots {
-		if now-sl.at < windowSlots {
-			r.Recent += sl.all
+		if current-sl.index < windowSlots {
+			r.Recent += sl.total
 			onTime += sl.onTime
 		}
 	}
--- a/oper/account.go
+++ b/oper/account.go
@@ -13,9 +13,9 @@
 	"geraniumpass/config"
 )
 
-func (c *Command) accounts(app *kingpin.Application) {
+func (c *Command) registerAccounts(app *kingpin.Application) {
 	account := app.Command("account", "Client accounts.")
-	account.Command("list", "List the accounts.").Action(func(*kingpin.ParseContext) error {
+	account.Command("list", "List the client accounts.").Action(func(*kingpin.ParseContext) error {
 		return c.listAccounts()
 	})
 	set := account.Command("set", "Create an account or replace its keys.")
@@ -24,7 +24,7 @@
 	set.Action(func(*kingpin.ParseContext) error {
 		return c.setAccount(*name, *files)
 	})
-	c.named(account.Command("remove", "Remove an account."), config.OpRemoveAccount, "name", "Name of the account.")
+	c.registerNamed(account.Command("remove", "Remove an account."), config.OpRemoveAccount, "name", "Name of the account.")
 }
 
 func (c *Command) setAccount(name string, files []string) error {
@@ -42,7 +42,7 @@
 	})
 }
 
-// HashKey returns the form in which the configuration keeps a bearer key.
+// HashKey returns the SHA-256 of a bearer key in hexadecimal, as stored in the configuration.
 func HashKey(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
@@ -57,5 +57,5 @@
 	for _, a := range doc.Accounts {
 		rows = append(rows, []string{a.Name, strconv.Itoa(len(a.KeySHA256))})
 	}
-	return c.show(doc.Accounts, []string{"ACCOUNT", "KEYS"}, rows)
+	return c.printTable(doc.Accounts, []string{"ACCOUNT", "KEYS"}, rows)
 }
--- a/oper/class.go
+++ b/oper/class.go
@@ -11,17 +11,17 @@
 	"geraniumpass/setup"
 )
 
-func (c *Command) classes(app *kingpin.Application) {
+func (c *Command) registerClasses(app *kingpin.Application) {
 	class := app.Command("class", "Classes of work.")
 	class.Command("list", "List the classes in the order in which they match.").Action(func(*kingpin.ParseContext) error {
 		return c.listClasses()
 	})
-	c.setClass(class.Command("set", "Create or replace a class."))
-	c.named(class.Command("remove", "Remove a class."), config.OpRemoveClass, "name", "Name of the class.")
-	c.setTarget(app.Command("target", "Targets of classes.").Command("set", "Set the target of a class."))
+	c.registerSetClass(class.Command("set", "Create or replace a class."))
+	c.registerNamed(class.Command("remove", "Remove a class."), config.OpRemoveClass, "name", "Name of the class.")
+	c.registerSetTarget(app.Command("target", "Targets of classes.").Command("set", "Set the target of a class."))
 }
 
-// targetFlags are the flags that state a target.
+// targetFlags holds the flags that define a target.
 type targetFlags struct {
 	measure string
 	within  time.Duration
@@ -29,9 +29,9 @@
 }
 
 func (t *targetFlags) register(cmd *kingpin.CmdClause) {
-	cmd.Flag("measure", "What the target is about: first_token or whole.").Default(string(config.MeasureWhole)).EnumVar(&t.measure, string(config.MeasureFirstToken), string(config.MeasureWhole))
-	cmd.Flag("within", "Time that the target allows, such as 400ms.").Required().DurationVar(&t.within)
-	cmd.Flag("percent", "Share of the requests that must be in time.").Default("95").Float64Var(&t.percent)
+	cmd.Flag("measure", "Point at which latency is measured: first_token or whole.").Default(string(config.MeasureComplete)).EnumVar(&t.measure, string(config.MeasureFirstToken), string(config.MeasureComplete))
+	cmd.Flag("within", "Latency limit, such as 400ms.").Required().DurationVar(&t.within)
+	cmd.Flag("percent", "Percentage of requests that must meet the limit.").Default("95").Float64Var(&t.percent)
 }
 
 func (t *targetFlags) target() config.Target {
@@ -42,13 +42,13 @@
 	}
 }
 
-func (c *Command) setClass(cmd *kingpin.CmdClause) {
+func (c *Command) registerSetClass(cmd *kingpin.CmdClause) {
 	var t targetFlags
 	t.register(cmd)
 	name := cmd.Arg("name", "Name of the class.").Required().String()
-	services := cmd.Flag("service", "Service that the class takes; may be repeated.").Strings()
-	accounts := cmd.Flag("account", "Client account that the class takes; may be repeated.").Strings()
-	label := cmd.Flag("label", "Value of X-Work-Class that the class takes.").String()
+	services := cmd.Flag("service", "Service that the class matches; may be repeated.").Strings()
+	accounts := cmd.Flag("account", "Client account that the class matches; may be repeated.").Strings()
+	label := cmd.Flag("label", "Value of X-Work-Class that the class matches.").String()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		return c.apply(config.Op{
 			Kind: config.OpSetClass,
@@ -65,7 +65,7 @@
 	})
 }
 
-func (c *Command) setTarget(cmd *kingpin.CmdClause) {
+func (c *Command) registerSetTarget(cmd *kingpin.CmdClause) {
 	var t targetFlags
 	t.register(cmd)
 	name := cmd.Arg("class", "Name of the class.").Required().String()
@@ -96,7 +96,7 @@
 			fmt.Sprint(cl.Target.Percent),
 		})
 	}
-	return c.show(doc.Classes, []string{"CLASS", "SERVICES", "ACCOUNTS", "LABEL", "MEASURE", "WITHIN", "PERCENT"}, rows)
+	return c.printTable(doc.Classes, []string{"CLASS", "SERVICES", "ACCOUNTS", "LABEL", "MEASURE", "WITHIN", "PERCENT"}, rows)
 }
 
 func orAny(list []string) string {
--- a/oper/client.go
+++ b/oper/client.go
@@ -14,42 +14,42 @@
 
 const callTimeout = 15 * time.Second
 
-// Client speaks to one entry's operator interface.
+// Client calls the operator interface of one entry.
 type Client struct {
 	Address string
 	Key     string
 }
 
-// CallError is an answer that is not a success.
+// CallError is a response with a status other than 200.
 type CallError struct {
 	Status int
 	Reply  entry.ChangeReply
 }
 
-// Error returns what the entry said.
+// Error returns the detail of the response and its status.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("%s (HTTP %d)", e.Reply.Detail, e.Status)
 }
 
-// Config returns the configuration that the entry holds.
+// Config returns the configuration held by the entry.
 func (c *Client) Config() (*config.Document, error) {
 	doc := &config.Document{}
 	return doc, c.call(fasthttp.MethodGet, "/operator/config", nil, doc)
 }
 
-// Status returns what the entry sees.
+// Status returns the entry's view of upstreams, classes and groups.
 func (c *Client) Status() (*entry.Status, error) {
 	s := &entry.Status{}
 	return s, c.call(fasthttp.MethodGet, "/operator/status", nil, s)
 }
 
-// Audit returns the records of changes from a revision on.
+// Audit returns the audit records starting at revision since.
 func (c *Client) Audit(since uint64) ([]config.Record, error) {
 	var records []config.Record
 	return records, c.call(fasthttp.MethodGet, fmt.Sprintf("/operator/audit?since=%d", since), nil, &records)
 }
 
-// Change makes a change and fails with a *CallError when it was not accepted.
+// Change submits a change and fails with a *CallError if the entry does not accept it.
 func (c *Client) Change(req entry.ChangeRequest) (entry.ChangeReply, error) {
 	var reply entry.ChangeReply
 	return reply, c.call(fasthttp.MethodPost, "/operator/change", req, &reply)
--- a/oper/command.go
+++ b/oper/command.go
@@ -19,7 +19,7 @@
 	outputJSON  = "json"
 )
 
-// Command holds the flags that all operator commands share.
+// Command holds the flags shared by all operator commands.
 type Command struct {
 	Client Client
 	Output string
@@ -30,25 +30,27 @@
 	Out    io.Writer
 }
 
-// Register adds the operator commands to the application; each returns its error to kingpin, which ends with a status that is not zero.
+// Register adds the operator commands to app. Each command returns its error to kingpin, which
+// exits with a non-zero status.
 func Register(app *kingpin.Application) {
 	c := &Command{Out: os.Stdout}
 	app.Flag("entry", "Control address of any entry.").Envar("GERANIUMPASS_ENTRY").Default("127.0.0.1:7100").StringVar(&c.Client.Address)
 	app.Flag("operator-key", "Operator key.").Envar("GERANIUMPASS_OPERATOR_KEY").StringVar(&c.Client.Key)
-	app.Flag("output", "Form of the output: table or json.").Default(outputTable).EnumVar(&c.Output, outputTable, outputJSON)
-	app.Flag("who", "Name that the audit trail shows.").Envar("USER").Default("operator").StringVar(&c.Who)
-	app.Flag("note", "Why the change is made.").StringVar(&c.Note)
-	app.Flag("base", "Revision that the change is made against; the newest when left out.").Uint64Var(&c.Base)
-	app.Flag("dry-run", "Show what a change would do and leave it at that.").BoolVar(&c.DryRun)
-	c.classes(app)
-	c.accounts(app)
-	c.groups(app)
-	c.document(app)
-	c.upstreams(app)
-	c.ends(app)
+	app.Flag("output", "Output format: table or json.").Default(outputTable).EnumVar(&c.Output, outputTable, outputJSON)
+	app.Flag("who", "Name recorded in the audit trail.").Envar("USER").Default("operator").StringVar(&c.Who)
+	app.Flag("note", "Reason for the change, recorded in the audit trail.").StringVar(&c.Note)
+	app.Flag("base", "Revision that the change is based on; defaults to the newest.").Uint64Var(&c.Base)
+	app.Flag("dry-run", "Show what a change would do without making it.").BoolVar(&c.DryRun)
+	c.registerClasses(app)
+	c.registerAccounts(app)
+	c.registerGroups(app)
+	c.registerDocument(app)
+	c.registerUpstreams(app)
+	c.registerEnds(app)
 }
 
-// apply shows what a change does, then makes it, and prints the other operator's change when it lost.
+// apply previews a change, submits it unless this is a dry run, and prints the conflicting changes
+// if it is rejected.
 func (c *Command) apply(ops ...config.Op) error {
 	doc, err := c.Client.Config()
 	if err != nil {
@@ -59,7 +61,7 @@
 		base = c.Base
 	}
 	if base == doc.Revision {
-		if err := c.preview(doc, ops); err != nil {
+		if err := c.printPreview(doc, ops); err != nil {
 			return err
 		}
 	}
@@ -76,19 +78,19 @@
 	})
 	var failed *CallError
 	if errors.As(err, &failed) {
-		c.explain(failed, id)
+		c.printFailure(failed, id)
 	}
 	if err != nil {
 		return err
 	}
 	if c.Output == outputJSON {
-		return c.json(reply)
+		return c.printJSON(reply)
 	}
 	fmt.Fprintf(c.Out, "accepted as revision %d\n", reply.Revision)
 	return nil
 }
 
-func (c *Command) preview(doc *config.Document, ops []config.Op) error {
+func (c *Command) printPreview(doc *config.Document, ops []config.Op) error {
 	next, err := config.Apply(doc, config.Record{
 		ID:       "preview",
 		Revision: doc.Revision + 1,
@@ -109,23 +111,23 @@
 	return nil
 }
 
-func (c *Command) explain(failed *CallError, id string) {
+func (c *Command) printFailure(failed *CallError, id string) {
 	if c.Output == outputJSON {
-		_ = c.json(failed.Reply)
+		_ = c.printJSON(failed.Reply)
 		return
 	}
 	for _, f := range failed.Reply.Findings {
 		fmt.Fprintln(c.Out, "  "+f.Error())
 	}
 	for _, r := range failed.Reply.Others {
-		fmt.Fprintf(c.Out, "  revision %d by %s at %s: %s\n", r.Revision, r.Who, r.At.Format("15:04:05"), summary(r))
+		fmt.Fprintf(c.Out, "  revision %d by %s at %s: %s\n", r.Revision, r.Who, r.At.Format("15:04:05"), summarize(r))
 	}
 	if failed.Reply.Unsure {
 		fmt.Fprintf(c.Out, "  look for id %s in the audit trail before making the change again\n", id)
 	}
 }
 
-func summary(r config.Record) string {
+func summarize(r config.Record) string {
 	parts := make([]string, 0, len(r.Ops))
 	for _, op := range r.Ops {
 		parts = append(parts, describe(op))
--- a/oper/diff.go
+++ b/oper/diff.go
@@ -10,7 +10,7 @@
 	"geraniumpass/config"
 )
 
-// Diff returns one line a difference between two documents, their records left aside.
+// Diff returns one line per difference between two documents, ignoring their records.
 func Diff(a, b *config.Document) []string {
 	var out []string
 	out = append(out, differences("class", classTexts(a.Classes), classTexts(b.Classes))...)
@@ -29,7 +29,7 @@
 	return out
 }
 
-func differences(what string, a, b map[string]string) []string {
+func differences(kind string, a, b map[string]string) []string {
 	names := lo.Union(lo.Keys(a), lo.Keys(b))
 	sort.Strings(names)
 	var out []string
@@ -38,16 +38,16 @@
 			continue
 		}
 		if a[n] != "" {
-			out = append(out, "- "+what+" "+a[n])
+			out = append(out, "- "+kind+" "+a[n])
 		}
 		if b[n] != "" {
-			out = append(out, "+ "+what+" "+b[n])
+			out = append(out, "+ "+kind+" "+b[n])
 		}
 	}
 	return out
 }
 
-func text(v any) string {
+func encodeJSON(v any) string {
 	b, err := json.Marshal(v)
 	if err != nil {
 		return ""
@@ -56,13 +56,13 @@
 }
 
 func classTexts(list []config.Class) map[string]string {
-	return lo.SliceToMap(list, func(v config.Class) (string, string) { return v.Name, text(v) })
+	return lo.SliceToMap(list, func(v config.Class) (string, string) { return v.Name, encodeJSON(v) })
 }
 
 func accountTexts(list []config.Account) map[string]string {
-	return lo.SliceToMap(list, func(v config.Account) (string, string) { return v.Name, text(v) })
+	return lo.SliceToMap(list, func(v config.Account) (string, string) { return v.Name, encodeJSON(v) })
 }
 
 func groupTexts(list []config.Group) map[string]string {
-	return lo.SliceToMap(list, func(v config.Group) (string, string) { return v.Name, text(v) })
+	return lo.SliceToMap(list, func(v config.Group) (string, string) { return v.Name, encodeJSON(v) })
 }
--- a/oper/doc.go
+++ b/oper/doc.go
@@ -1,2 +1,3 @@
-// Package oper is the operator's command line: it reads and changes the configuration through any entry.
+// Package oper implements the operator commands, which read and change the configuration through
+// any entry.
 package oper
--- a/oper/document.go
+++ b/oper/document.go
@@ -12,21 +12,22 @@
 	"geraniumpass/setup"
 )
 
-// File is the part of the configuration that an operator writes: the document without what the system adds.
+// File is the operator-written part of the configuration: a document without its revision, drained
+// instances and records.
 type File struct {
 	Classes  []config.Class   `json:"classes" validate:"dive"`
 	Accounts []config.Account `json:"accounts" validate:"dive"`
 	Groups   []config.Group   `json:"groups" validate:"dive"`
 }
 
-func (c *Command) document(app *kingpin.Application) {
-	cfg := app.Command("config", "The whole configuration.")
+func (c *Command) registerDocument(app *kingpin.Application) {
+	cfg := app.Command("config", "The complete configuration.")
 	cfg.Command("get", "Print the configuration.").Action(func(*kingpin.ParseContext) error {
 		doc, err := c.Client.Config()
 		if err != nil {
 			return err
 		}
-		return c.json(doc)
+		return c.printJSON(doc)
 	})
 	diff := cfg.Command("diff", "Show what applying a file would change.")
 	diffFile := diff.Arg("file", "File in JSON with comments.").Required().ExistingFile()
@@ -34,7 +35,7 @@
 		c.DryRun = true
 		return c.applyFile(*diffFile)
 	})
-	apply := cfg.Command("apply", "Make the configuration the same as a file.")
+	apply := cfg.Command("apply", "Replace the configuration with that in a file.")
 	applyFile := apply.Arg("file", "File in JSON with comments.").Required().ExistingFile()
 	apply.Action(func(*kingpin.ParseContext) error {
 		return c.applyFile(*applyFile)
@@ -42,7 +43,7 @@
 	audit := app.Command("audit", "Show who changed what.")
 	since := audit.Flag("since", "First revision to show.").Default("1").Uint64()
 	audit.Action(func(*kingpin.ParseContext) error {
-		return c.audit(*since)
+		return c.printAudit(*since)
 	})
 }
 
@@ -67,12 +68,12 @@
 	return c.apply(ops...)
 }
 
-// Ops returns the changes that make a document the same as a file.
+// Ops returns the operations that make a document equal to a file.
 func Ops(doc *config.Document, f File) []config.Op {
 	var ops []config.Op
 	classes := classTexts(doc.Classes)
 	for _, v := range f.Classes {
-		if classes[v.Name] != text(v) {
+		if classes[v.Name] != encodeJSON(v) {
 			ops = append(ops, config.Op{
 				Kind:  config.OpSetClass,
 				Class: &v,
@@ -82,7 +83,7 @@
 	}
 	accounts := accountTexts(doc.Accounts)
 	for _, v := range f.Accounts {
-		if accounts[v.Name] != text(v) {
+		if accounts[v.Name] != encodeJSON(v) {
 			ops = append(ops, config.Op{
 				Kind:    config.OpSetAccount,
 				Account: &v,
@@ -92,7 +93,7 @@
 	}
 	groups := groupTexts(doc.Groups)
 	for _, v := range f.Groups {
-		if groups[v.Name] != text(v) {
+		if groups[v.Name] != encodeJSON(v) {
 			ops = append(ops, config.Op{
 				Kind:  config.OpSetGroup,
 				Group: &v,
@@ -105,9 +106,9 @@
 	return append(ops, removals(config.OpRemoveGroup, groups)...)
 }
 
-func removals(kind config.OpKind, left map[string]string) []config.Op {
-	ops := make([]config.Op, 0, len(left))
-	for name := range left {
+func removals(kind config.OpKind, remaining map[string]string) []config.Op {
+	ops := make([]config.Op, 0, len(remaining))
+	for name := range remaining {
 		ops = append(ops, config.Op{
 			Kind: kind,
 			Name: name,
@@ -116,7 +117,7 @@
 	return ops
 }
 
-func (c *Command) audit(since uint64) error {
+func (c *Command) printAudit(since uint64) error {
 	records, err := c.Client.Audit(since)
 	if err != nil {
 		return err
@@ -127,10 +128,10 @@
 			strconv.FormatUint(r.Revision, 10),
 			r.At.Format("2006-01-02 15:04:05"),
 			r.Who,
-			summary(r),
+			summarize(r),
 			r.Note,
 			r.ID,
 		})
 	}
-	return c.show(records, []string{"REVISION", "AT", "WHO", "WHAT", "NOTE", "ID"}, rows)
+	return c.printTable(records, []string{"REVISION", "AT", "WHO", "WHAT", "NOTE", "ID"}, rows)
 }
--- a/oper/ends.go
+++ b/oper/ends.go
@@ -15,50 +15,50 @@
 	"geraniumpass/platform"
 )
 
-// endsTimeout bounds a command's calls to the store.
-const endsTimeout = 10 * time.Second
+// storeTimeout bounds the store calls of one command.
+const storeTimeout = 10 * time.Second
 
-// UnknownDigestError says that no end counts against a request.
+// UnknownDigestError reports that no instance termination counts against a request.
 type UnknownDigestError struct {
 	Digest crash.Digest
 }
 
-// Error names the digest.
+// Error states the digest.
 func (e *UnknownDigestError) Error() string {
-	return "no end of an instance counts against request " + e.Digest.String()
+	return "no instance termination counts against request " + e.Digest.String()
 }
 
-func (c *Command) ends(app *kingpin.Application) {
-	ends := app.Command("ends", "Requests under which instances ended, on the platform.")
+func (c *Command) registerEnds(app *kingpin.Application) {
+	ends := app.Command("ends", "Requests during which instances of the platform terminated.")
 	address := ends.Flag("store", "Address of the platform's store.").Envar("GERANIUMPASS_STORE").Required().String()
-	ends.Command("list", "List the ends, and which count against their request.").Action(func(*kingpin.ParseContext) error {
+	ends.Command("list", "List the terminations and whether each counts against its request.").Action(func(*kingpin.ParseContext) error {
 		return c.listEnds(platform.NewStore(*address))
 	})
-	release := ends.Command("release", "Let entries send a request again.")
+	release := ends.Command("release", "Allow entries to send a refused request again.")
 	var d crash.Digest
-	release.Arg("digest", "Digest of the request, from the list or a log.").Required().SetValue(&digestValue{to: &d})
+	release.Arg("digest", "Digest of the request, from the list command or a log.").Required().SetValue(&digestValue{target: &d})
 	release.Action(func(*kingpin.ParseContext) error {
-		return c.releaseEnds(platform.NewStore(*address), d)
+		return c.clearRequest(platform.NewStore(*address), d)
 	})
 }
 
-// digestValue reads a digest from the command line.
+// digestValue is a kingpin value that parses a digest.
 type digestValue struct {
-	to *crash.Digest
+	target *crash.Digest
 }
 
-// Set reads a digest in hexadecimal and fails with a *crash.DigestError.
+// Set parses a hexadecimal digest and fails with a *crash.DigestError if it is invalid.
 func (v *digestValue) Set(text string) error {
-	return v.to.UnmarshalText([]byte(text))
+	return v.target.UnmarshalText([]byte(text))
 }
 
-// String returns the digest.
+// String returns the digest in hexadecimal.
 func (v *digestValue) String() string {
-	return v.to.String()
+	return v.target.String()
 }
 
 func (c *Command) listEnds(st *platform.Store) error {
-	ctx, cancel := context.WithTimeout(context.Background(), endsTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	known, err := st.Ends(ctx)
 	if err != nil {
@@ -78,31 +78,32 @@
 		}
 	}
 	sort.Slice(rows, func(i, j int) bool { return fmt.Sprint(rows[i]) < fmt.Sprint(rows[j]) })
-	return c.show(known, []string{"REQUEST", "ACCOUNT", "INSTANCE", "ENDED", "COUNTS", "STATED BY"}, rows)
+	return c.printTable(known, []string{"REQUEST", "ACCOUNT", "INSTANCE", "ENDED", "COUNTS", "STATED BY"}, rows)
 }
 
-// releaseEnds states, under the operator's own name, that the ends known of a request are not its doing.
-func (c *Command) releaseEnds(st *platform.Store, d crash.Digest) error {
-	ctx, cancel := context.WithTimeout(context.Background(), endsTimeout)
+// clearRequest records, under the operator's name, that the known terminations attributed to a
+// request were not caused by it.
+func (c *Command) clearRequest(st *platform.Store, d crash.Digest) error {
+	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
 	known, err := st.Ends(ctx)
 	if err != nil {
 		return err
 	}
 	name := "operator-" + c.Who
-	stated := cleared(known, d)
-	if len(stated) == 0 {
+	statements := clearTerminations(known, d)
+	if len(statements) == 0 {
 		return &UnknownDigestError{Digest: d}
 	}
 	if c.DryRun {
-		fmt.Fprintf(c.Out, "would clear request %s of %d ends\n", d, len(stated))
+		fmt.Fprintf(c.Out, "would clear request %s of %d ends\n", d, len(statements))
 		return nil
 	}
 	own, err := st.Get(ctx, platform.EndsKey(name))
 	if err != nil {
 		return err
 	}
-	data, err := json.Marshal(append(known[name], stated...))
+	data, err := json.Marshal(append(known[name], statements...))
 	if err != nil {
 		return errs.Wrap(err)
 	}
@@ -113,20 +114,20 @@
 	if _, err := st.Swap(ctx, platform.EndsKey(name), data, own.Modified, lease); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.Out, "request %s cleared of %d ends\n", d, len(stated))
+	fmt.Fprintf(c.Out, "request %s cleared of %d ends\n", d, len(statements))
 	return nil
 }
 
-// cleared returns the ends that count against a request, stated not to be its doing.
-func cleared(known map[string][]crash.Termination, d crash.Digest) []crash.Termination {
-	done := make(map[crash.TerminationKey]bool)
+// clearTerminations returns cleared copies of the terminations that count against a request.
+func clearTerminations(known map[string][]crash.Termination, d crash.Digest) []crash.Termination {
+	seen := make(map[crash.TerminationKey]bool)
 	var counted []crash.Termination
 	for _, ends := range known {
 		for _, e := range ends {
 			switch {
 			case e.Digest != d:
 			case e.Cleared:
-				done[e.Key()] = true
+				seen[e.Key()] = true
 			default:
 				counted = append(counted, e)
 			}
@@ -134,8 +135,8 @@
 	}
 	var out []crash.Termination
 	for _, e := range counted {
-		if !done[e.Key()] {
-			done[e.Key()] = true
+		if !seen[e.Key()] {
+			seen[e.Key()] = true
 			e.Cleared = true
 			out = append(out, e)
 		}
--- a/oper/ends_test.go
+++ b/oper/ends_test.go
@@ -18,9 +18,10 @@
 	"geraniumpass/platform/emul"
 )
 
-// TestOperatorLetsARequestGo has two entries have seen ends under one request; once the operator has released it neither of them refuses it,
-// nor does one that starts later.
-func TestOperatorLetsARequestGo(t *testing.T) {
+// TestReleaseClearsRequest guards against a request staying refused after an operator released it:
+// three terminations are recorded, and an entry that starts after the release must not refuse the
+// request.
+func TestReleaseClearsRequest(t *testing.T) {
 	st := emul.NewStore("127.0.0.1:0")
 	if err := st.Server.Start(); err != nil {
 		t.Fatal(err)
@@ -36,7 +37,7 @@
 		entry.RecordTermination(fatal, "acme", core.Start{ID: id}, true)
 	}
 	if !entry.Refuses(fatal) {
-		t.Fatal("the request is not refused to begin with")
+		t.Fatal("the request is not refused before the release")
 	}
 	go (&crash.Publisher{
 		Registry: entry,
@@ -46,7 +47,7 @@
 	}).Run(ctx)
 	for deadline := time.Now().Add(10 * time.Second); len(st.Lookup(platform.EndsKey("front-1"))) == 0; {
 		if time.Now().After(deadline) {
-			t.Fatal("the ends are not in the store")
+			t.Fatal("the terminations were not published to the store")
 		}
 		<-time.After(time.Millisecond)
 	}
@@ -66,7 +67,7 @@
 		t.Fatal(err)
 	}
 	if known, _ := later.Since(0); len(known) != 3 || later.Refuses(fatal) {
-		t.Errorf("%d ends known, refused: %v", len(known), later.Refuses(fatal))
+		t.Errorf("%d terminations known, refused: %v", len(known), later.Refuses(fatal))
 	}
 	var unknown *UnknownDigestError
 	if _, err := run(t, address, "release", fatal.String(), "--who", "ann"); !errors.As(err, &unknown) {
@@ -74,7 +75,7 @@
 	}
 	var bad *crash.DigestError
 	if _, err := run(t, address, "release", "12"); !errors.As(err, &bad) {
-		t.Errorf("a digest that is none: %v", err)
+		t.Errorf("invalid digest: %v", err)
 	}
 }
 
@@ -89,7 +90,7 @@
 	}
 	app.Flag("who", "").StringVar(&c.Who)
 	app.Flag("dry-run", "").BoolVar(&c.DryRun)
-	c.ends(app)
+	c.registerEnds(app)
 	_, err := app.Parse(append([]string{"ends", "--store", address}, args...))
 	return out.String(), err
 }
--- a/oper/named.go
+++ b/oper/named.go
@@ -6,8 +6,9 @@
 	"geraniumpass/config"
 )
 
-// named makes cmd one that takes a name and makes the change of a kind to what has that name.
-func (c *Command) named(cmd *kingpin.CmdClause, kind config.OpKind, arg, help string) {
+// registerNamed gives cmd one required name argument and an action that submits an operation of the
+// given kind on that name.
+func (c *Command) registerNamed(cmd *kingpin.CmdClause, kind config.OpKind, arg, help string) {
 	name := cmd.Arg(arg, help).Required().String()
 	cmd.Action(func(*kingpin.ParseContext) error {
 		return c.apply(config.Op{
--- a/oper/named_test.go
+++ b/oper/named_test.go
@@ -13,7 +13,7 @@
 	"geraniumpass/entry"
 )
 
-func TestNamedCommandsMakeOneChange(t *testing.T) {
+func TestNamedCommandsSendOneOp(t *testing.T) {
 	var got entry.ChangeRequest
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /operator/config", func(w http.ResponseWriter, _ *http.Request) {
@@ -59,7 +59,8 @@
 			app := kingpin.New("test", "")
 			Register(app)
 			words := append(strings.Fields(tt.command), "some-name")
-			// Another base than the newest leaves the preview out, which would refuse a name that isn't there.
+			// A base other than the newest revision skips the preview, which would reject a name
+			// that does not exist.
 			if _, err := app.Parse(append([]string{"--entry", address, "--base", "9"}, words...)); err != nil {
 				t.Fatal(err)
 			}
--- a/oper/upstream.go
+++ b/oper/upstream.go
@@ -11,36 +11,36 @@
 	"geraniumpass/entry"
 )
 
-func (c *Command) upstreams(app *kingpin.Application) {
-	c.named(app.Command("drain", "Take an upstream instance out of service; it finishes what it has."), config.OpDrain, "instance", "Identity of the instance.")
-	c.named(app.Command("undrain", "Let an instance be used again once its agent has been restarted."), config.OpUndrain, "instance", "Identity of the instance.")
+func (c *Command) registerUpstreams(app *kingpin.Application) {
+	c.registerNamed(app.Command("drain", "Drain an upstream instance; it finishes its requests in flight."), config.OpDrain, "instance", "Identity of the instance.")
+	c.registerNamed(app.Command("undrain", "Return an instance to service once its agent has been restarted."), config.OpUndrain, "instance", "Identity of the instance.")
 	app.Command("status", "Show upstreams, groups, targets and revisions as one entry sees them.").Action(func(*kingpin.ParseContext) error {
-		return c.status()
+		return c.printStatus()
 	})
 }
 
-func (c *Command) status() error {
+func (c *Command) printStatus() error {
 	s, err := c.Client.Status()
 	if err != nil {
 		return err
 	}
 	if c.Output == outputJSON {
-		return c.json(s)
+		return c.printJSON(s)
 	}
 	age := "never confirmed by the key-value service"
 	if s.AgeMillis >= 0 {
 		age = "confirmed " + (time.Duration(s.AgeMillis) * time.Millisecond).String() + " ago"
 	}
 	fmt.Fprintf(c.Out, "entry %s in %s: revision %d, %s; %d requests in flight\n\n", s.Entry, s.Domain, s.Revision, age, s.InFlight)
-	if err := c.show(s, []string{"UPSTREAM", "SERVICE", "DOMAIN", "STATE", "RUNNING", "LIMIT", "QUEUED", "REVISION"}, upstreamRows(s)); err != nil {
+	if err := c.printTable(s, []string{"UPSTREAM", "SERVICE", "DOMAIN", "STATE", "RUNNING", "LIMIT", "QUEUED", "REVISION"}, upstreamRows(s)); err != nil {
 		return err
 	}
 	fmt.Fprintln(c.Out)
-	if err := c.show(s, []string{"CLASS", "TARGET", "MET", "DOMAIN", "WHOLE", "NOT RUN", "UNKNOWN", "P50", "P95", "P99"}, classRows(s)); err != nil {
+	if err := c.printTable(s, []string{"CLASS", "TARGET", "MET", "DOMAIN", "WHOLE", "NOT RUN", "UNKNOWN", "P50", "P95", "P99"}, classRows(s)); err != nil {
 		return err
 	}
 	fmt.Fprintln(c.Out)
-	return c.show(s, []string{"GROUP", "LEADING", "PHASE", "MAP", "SKEW", "MOVES"}, groupRows(s))
+	return c.printTable(s, []string{"GROUP", "LEADING", "PHASE", "MAP", "SKEW", "MOVES"}, groupRows(s))
 }
 
 func upstreamRows(s *entry.Status) [][]string {
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -105,7 +105,7 @@
 
 func submitChange(client *oper.Client, id string, base uint64, operator, try int) (changeOutput, error) {
 	target := config.Target{
-		Measure: config.MeasureWhole,
+		Measure: config.MeasureComplete,
 		Within:  setup.Duration{Duration: time.Duration(1000+operator*100+try) * time.Millisecond},
 		Percent: 95,
 	}
@@ -219,7 +219,7 @@
 
 func TestAcceptedConfigurationNeverReverts(t *testing.T) {
 	target := config.Target{
-		Measure: config.MeasureWhole,
+		Measure: config.MeasureComplete,
 		Within:  setup.Duration{Duration: 1234 * time.Millisecond},
 		Percent: 99,
 	}
--- a/proof/harness_test.go
+++ b/proof/harness_test.go
@@ -71,7 +71,7 @@
 			Label:    label,
 		},
 		Target: config.Target{
-			Measure: config.MeasureWhole,
+			Measure: config.MeasureComplete,
 			Within:  setup.Duration{Duration: within},
 			Percent: 95,
 		},
--- a/proof/map_test.go
+++ b/proof/map_test.go
@@ -136,11 +136,11 @@
 		{name: "leader frozen until its lease has lapsed, then going on", injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
 			p := leaderOf(d)
 			waitForMidSwitch(t, g)
-			p.Freeze()
+			p.Suspend()
 			eventually(t, "another leader", func() bool {
 				return leaderOf(d, p) != nil
 			})
-			p.Thaw()
+			p.Resume()
 		}},
 		{name: "platform outage in mid-switch", injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
 			waitForMidSwitch(t, g)
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -118,9 +118,9 @@
 		}},
 		{name: "an agent frozen and thawed", injectFault: func(t *testing.T, d *deploy.Deployment, l *load) {
 			a := d.Agents[plain+"-00"]
-			a.Freeze()
+			a.Suspend()
 			l.waitForMore(t, 30)
-			a.Thaw()
+			a.Resume()
 		}},
 		{name: "links cut while answers are under way", injectFault: func(t *testing.T, d *deploy.Deployment, l *load) {
 			for range 3 {
@@ -213,9 +213,9 @@
 		}
 	})
 	l.waitForMore(t, 24)
-	a.Freeze()
+	a.Suspend()
 	l.waitForMore(t, 72)
-	a.Thaw()
+	a.Resume()
 	l.waitForMore(t, 48)
 	results := l.stopAndWait()
 	checkVerdicts(t, results, caller.Whole, caller.NotRun, caller.Unknown)
--- a/setup/agent.go
+++ b/setup/agent.go
@@ -1,6 +1,6 @@
 package setup
 
-// Agent is the settings of the agent role.
+// Agent holds the settings of the agent role.
 type Agent struct {
 	Role     string   `json:"role" validate:"required,eq=agent"`
 	ID       string   `json:"id" validate:"required,max=128"`
--- a/setup/doc.go
+++ b/setup/doc.go
@@ -1,2 +1,3 @@
-// Package setup reads a role's settings from JSON with comments and reports every error in them at once.
+// Package setup reads a role's settings from JSON with comments and reports all errors in them at
+// once.
 package setup
--- a/setup/duration.go
+++ b/setup/duration.go
@@ -5,12 +5,12 @@
 	"time"
 )
 
-// Duration is a time.Duration written as a string such as "1.5s".
+// Duration is a non-negative time.Duration that is encoded in JSON as a string such as "1.5s".
 type Duration struct {
 	time.Duration
 }
 
-// UnmarshalJSON reads the string form and fails with a *ValueError.
+// UnmarshalJSON parses the string form and fails with a *ValueError if it is invalid or negative.
 func (d *Duration) UnmarshalJSON(b []byte) error {
 	var s string
 	if err := json.Unmarshal(b, &s); err != nil {
@@ -30,7 +30,7 @@
 	return nil
 }
 
-// MarshalJSON writes the string form.
+// MarshalJSON returns the string form.
 func (d Duration) MarshalJSON() ([]byte, error) {
 	return json.Marshal(d.String())
 }
--- a/setup/entry.go
+++ b/setup/entry.go
@@ -1,27 +1,28 @@
 package setup
 
-// Entry is the settings of the entry role.
+// Entry holds the settings of the entry role.
 type Entry struct {
 	Role   string `json:"role" validate:"required,eq=entry"`
 	ID     string `json:"id" validate:"required,max=128"`
 	Domain string `json:"domain" validate:"required,max=128"`
 	Region string `json:"region" validate:"max=128"`
-	// Listen is where callers come, as IP and port.
+	// Listen is the IP address and port for callers.
 	Listen string `json:"listen" validate:"required,hostport_ip"`
-	// Control is where operators and other entries come, as IP and port.
+	// Control is the IP address and port for operators and other entries.
 	Control     string   `json:"control" validate:"required,hostport_ip"`
 	Platform    Platform `json:"platform"`
 	LinkKey     string   `json:"link_key" validate:"required,min=16"`
 	OperatorKey string   `json:"operator_key" validate:"required,min=16"`
-	// Seeds are control addresses of entries and agents, asked when the platform is down at start.
+	// Seeds lists control addresses of entries and agents to query if the platform is unavailable
+	// at startup.
 	Seeds []string `json:"seeds" validate:"dive,hostport_ip"`
-	// MaxLinks bounds the agents that this entry links to.
+	// MaxLinks limits the number of agents that this entry links to.
 	MaxLinks int `json:"max_links" validate:"min=0,max=4096"`
-	// MaxBody bounds a caller's body in bytes.
+	// MaxBody limits a caller's request body in bytes.
 	MaxBody int `json:"max_body" validate:"min=0,max=67108864"`
-	// DefaultDeadline is a caller's deadline when it states none.
+	// DefaultDeadline applies to requests that state no deadline.
 	DefaultDeadline Duration `json:"default_deadline"`
-	// ClaimRetention is how long a repeat with the same Idempotency-Key is recognised.
+	// ClaimRetention is how long a retry with the same Idempotency-Key is recognised.
 	ClaimRetention Duration `json:"claim_retention"`
 	Log            Log      `json:"log"`
 }
--- a/setup/error.go
+++ b/setup/error.go
@@ -2,7 +2,7 @@
 
 import "strings"
 
-// ValueError is one wrong value: where it stands, what it is and what it may be.
+// ValueError describes one invalid value: its path, the value and what is expected.
 type ValueError struct {
 	Path string
 	Got  string
@@ -14,14 +14,14 @@
 	return e.Path + ": got " + e.Got + ", want " + e.Want
 }
 
-// Report is the error that lists everything wrong with a settings file.
-type Report struct {
+// ValidationError lists all findings in a settings file.
+type ValidationError struct {
 	File     string
 	Findings []*ValueError
 }
 
-// Error returns one line a finding.
-func (r *Report) Error() string {
+// Error returns one line per finding, after a line with the file name.
+func (r *ValidationError) Error() string {
 	lines := make([]string, 0, len(r.Findings)+1)
 	lines = append(lines, r.File+" is not valid:")
 	for _, f := range r.Findings {
--- a/setup/gateway.go
+++ b/setup/gateway.go
@@ -1,11 +1,13 @@
 package setup
 
-// Gateway is the settings of the gateway role, which answers callers in front of a platform's upstreams.
+// Gateway holds the settings of the gateway role, which serves callers in front of a platform's
+// upstreams.
 type Gateway struct {
 	Role   string `json:"role" validate:"required,eq=gateway"`
 	ID     string `json:"id" validate:"required,max=128"`
 	Domain string `json:"domain" validate:"required,max=128"`
-	// Listen is where callers come, Ready where the platform asks for readiness, Control where peers come, as IP and port.
+	// Listen, Ready and Control are the IP addresses and ports for callers, for the platform's
+	// readiness checks and for peers.
 	Listen  string `json:"listen" validate:"required,hostport_ip"`
 	Ready   string `json:"ready" validate:"required,hostport_ip"`
 	Control string `json:"control" validate:"required,hostport_ip"`
@@ -13,7 +15,7 @@
 	Store   string   `json:"store" validate:"required,hostport_ip"`
 	Seeds   []string `json:"seeds" validate:"dive,hostport_ip"`
 	LinkKey string   `json:"link_key" validate:"required,min=16"`
-	// Grace is how long a process may go on after SIGTERM.
+	// Grace is the time between SIGTERM and the platform killing the process.
 	Grace  Duration `json:"grace"`
 	Repeat Repeat   `json:"repeat"`
 	Limits Limits   `json:"limits"`
--- a/setup/limits.go
+++ b/setup/limits.go
@@ -1,6 +1,6 @@
 package setup
 
-// Limits is what a process may use of its machine.
+// Limits bounds the machine resources that a process uses.
 type Limits struct {
 	MemoryMB int `json:"memory_mb" validate:"min=0"`
 }
--- a/setup/load.go
+++ b/setup/load.go
@@ -31,7 +31,8 @@
 	return v
 }
 
-// isAddress accepts an IP number with a port, since processes reach each other by IP number.
+// isAddress reports whether s is an IP address with a port. Host names are rejected because
+// processes reach each other by IP address.
 func isAddress(s string) bool {
 	host, port, err := net.SplitHostPort(s)
 	if err != nil || net.ParseIP(host) == nil {
@@ -41,7 +42,8 @@
 	return err == nil && n > 0 && n < 1<<16
 }
 
-// Load reads the file into settings, a pointer to a struct, and fails with a *Report that lists all that is wrong.
+// Load reads the file into settings, a pointer to a struct, and fails with a *ValidationError that
+// lists all findings.
 func Load(file string, settings any) error {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -50,9 +52,10 @@
 	return Parse(file, b, settings)
 }
 
-// Parse is Load for text that is already in memory; name stands for the file in the report.
+// Parse is like Load for text that is already in memory. The name stands for the file name in the
+// error.
 func Parse(name string, text []byte, settings any) error {
-	report := &Report{File: name}
+	report := &ValidationError{File: name}
 	plain, err := hujson.Standardize(text)
 	if err != nil {
 		report.Findings = append(report.Findings, &ValueError{
@@ -70,7 +73,8 @@
 	if err := json.Unmarshal(plain, settings); err != nil && len(report.Findings) == 0 {
 		return errs.Wrap(err)
 	}
-	// What could be read is checked as well, so that one report has everything; a field is reported once.
+	// Values that could be decoded are validated too, so that one error lists all findings. A path
+	// with a decoding error is not reported twice.
 	reported := lo.SliceToMap(report.Findings, func(f *ValueError) (string, bool) { return f.Path, true })
 	report.Findings = append(report.Findings, lo.Reject(Check(settings), func(f *ValueError, _ int) bool { return reported[f.Path] })...)
 	if len(report.Findings) == 0 {
@@ -80,7 +84,7 @@
 	return report
 }
 
-// Check validates a filled struct by its tags and returns what is wrong.
+// Check validates a struct by its tags and returns the findings.
 func Check(settings any) []*ValueError {
 	var fields validator.ValidationErrors
 	if !errors.As(validate.Struct(settings), &fields) {
@@ -91,12 +95,12 @@
 		return &ValueError{
 			Path: path,
 			Got:  fmt.Sprintf("%q", fmt.Sprint(f.Value())),
-			Want: wanted(f),
+			Want: describeConstraint(f),
 		}
 	})
 }
 
-func wanted(f validator.FieldError) string {
+func describeConstraint(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
 		return "a value"
@@ -107,24 +111,25 @@
 	case "eq":
 		return f.Param()
 	case "min":
-		return "at least " + f.Param() + unitOf(f)
+		return "at least " + f.Param() + unitSuffix(f)
 	case "max":
-		return "at most " + f.Param() + unitOf(f)
+		return "at most " + f.Param() + unitSuffix(f)
 	}
 	return f.Tag() + " " + f.Param()
 }
 
-func unitOf(f validator.FieldError) string {
+func unitSuffix(f validator.FieldError) string {
 	if f.Kind() == reflect.String {
 		return " characters"
 	}
 	return ""
 }
 
-// roles are all that a settings file may be for.
+// roles lists the roles that a settings file can have.
 var roles = []string{"agent", "entry", "gateway", "sidecar"}
 
-// Role returns the role that a settings file is for, without validating the rest.
+// Role returns the role in a settings file without validating the rest. It fails with a
+// *ValidationError if the file is not JSON or the role is unknown.
 func Role(file string) (string, error) {
 	b, err := os.ReadFile(file)
 	if err != nil {
@@ -138,7 +143,7 @@
 		err = json.Unmarshal(plain, &head)
 	}
 	if err != nil {
-		return "", &Report{
+		return "", &ValidationError{
 			File: file,
 			Findings: []*ValueError{{
 				Path: "(file)",
@@ -148,7 +153,7 @@
 		}
 	}
 	if !lo.Contains(roles, head.Role) {
-		return "", &Report{
+		return "", &ValidationError{
 			File: file,
 			Findings: []*ValueError{{
 				Path: "role",
--- a/setup/platform.go
+++ b/setup/platform.go
@@ -1,6 +1,6 @@
 package setup
 
-// Platform is where the platform's services answer.
+// Platform holds the addresses of the platform's services.
 type Platform struct {
 	KeyValue     string `json:"key_value" validate:"required,hostport_ip"`
 	InstanceList string `json:"instance_list" validate:"required,hostport_ip"`
--- a/setup/repeat.go
+++ b/setup/repeat.go
@@ -1,6 +1,7 @@
 package setup
 
-// Repeat is what all entries together may send again to a service: Ratio for each request, and Slack beside it, within Window.
+// Repeat is the retry budget for a service, shared by all entries: within Window they may send
+// Ratio retries per request plus Slack further retries.
 type Repeat struct {
 	Ratio  float64  `json:"ratio" validate:"min=0,max=1"`
 	Slack  float64  `json:"slack" validate:"min=0"`
--- a/setup/setup_test.go
+++ b/setup/setup_test.go
@@ -14,7 +14,7 @@
 	"upstream": {"service": "simdesk", "kind": "plain", "address": "127.0.0.1:8000",},
 }`
 
-func TestParseReportsEverythingAtOnce(t *testing.T) {
+func TestParseReportsAllFindings(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
@@ -37,13 +37,13 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			err := Parse("agent.json", []byte(tt.text), &Agent{})
-			var report *Report
+			var report *ValidationError
 			var got []string
 			if errors.As(err, &report) {
 				for _, f := range report.Findings {
 					got = append(got, f.Path)
 					if f.Got == "" || f.Want == "" {
-						t.Errorf("%s: got %q, want %q: both must be said", f.Path, f.Got, f.Want)
+						t.Errorf("%s: got %q, want %q: both must be set", f.Path, f.Got, f.Want)
 					}
 				}
 			} else if err != nil {
@@ -75,7 +75,7 @@
 	}
 }
 
-// FuzzParse looks for text that makes the report panic.
+// FuzzParse checks that no input makes Parse panic.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(goodAgent))
 	f.Add([]byte(`{"upstream": [1, {"a": null}], "log": 3}`))
--- a/setup/sidecar.go
+++ b/setup/sidecar.go
@@ -1,13 +1,14 @@
 package setup
 
-// Sidecar is the settings of the sidecar role, which stands beside one rank of a group.
+// Sidecar holds the settings of the sidecar role, which runs next to one rank of a group.
 type Sidecar struct {
 	Role   string `json:"role" validate:"required,eq=sidecar"`
 	ID     string `json:"id" validate:"required,max=128"`
 	Domain string `json:"domain" validate:"required,max=128"`
-	// Listen is where the group's leader and entries come, as IP and port; the port is the same beside every rank.
+	// Listen is the IP address and port for the group's leader and for entries. The port is the
+	// same for every rank.
 	Listen string `json:"listen" validate:"required,hostport_ip"`
-	// Store is the address of the platform's store, Upstream that of the engine beside this process.
+	// Store is the address of the platform's store, and Upstream that of the local engine.
 	Store    string `json:"store" validate:"required,hostport_ip"`
 	Upstream string `json:"upstream" validate:"required,hostport_ip"`
 	Service  string `json:"service" validate:"required,max=128"`
--- a/setup/walk.go
+++ b/setup/walk.go
@@ -11,25 +11,27 @@
 	"github.com/samber/lo"
 )
 
-// walk compares parsed JSON with the type that is to hold it, so that all wrong names and kinds are found, not the first.
+// walk compares decoded JSON with the type that it is decoded into. It reports
+// all unknown fields and type mismatches, whereas json.Unmarshal ignores the former and returns
+// only the first of the latter.
 func walk(path string, got any, want reflect.Type) []*ValueError {
 	if reflect.PointerTo(want).Implements(reflect.TypeFor[json.Unmarshaler]()) {
-		return custom(path, got, want)
+		return walkUnmarshaler(path, got, want)
 	}
 	switch want.Kind() {
 	case reflect.Pointer:
 		return walk(path, got, want.Elem())
 	case reflect.Struct:
-		return object(path, got, want)
+		return walkObject(path, got, want)
 	case reflect.Slice:
-		return list(path, got, want)
+		return walkList(path, got, want)
 	case reflect.Map:
-		return table(path, got, want)
+		return walkMap(path, got, want)
 	}
-	return scalar(path, got, want)
+	return walkScalar(path, got, want)
 }
 
-func custom(path string, got any, want reflect.Type) []*ValueError {
+func walkUnmarshaler(path string, got any, want reflect.Type) []*ValueError {
 	b, err := json.Marshal(got)
 	if err != nil {
 		return nil
@@ -49,10 +51,10 @@
 	return []*ValueError{v}
 }
 
-func object(path string, got any, want reflect.Type) []*ValueError {
+func walkObject(path string, got any, want reflect.Type) []*ValueError {
 	m, ok := got.(map[string]any)
 	if !ok {
-		return mismatch(path, got, "an object")
+		return typeMismatch(path, got, "an object")
 	}
 	fields := make(map[string]reflect.Type)
 	for i := range want.NumField() {
@@ -68,24 +70,24 @@
 			names := lo.Keys(fields)
 			sort.Strings(names)
 			out = append(out, &ValueError{
-				Path: join(path, name),
+				Path: joinPath(path, name),
 				Got:  "an unknown field",
 				Want: "one of " + strings.Join(names, ", "),
 			})
 			continue
 		}
-		out = append(out, walk(join(path, name), m[name], t)...)
+		out = append(out, walk(joinPath(path, name), m[name], t)...)
 	}
 	return out
 }
 
-func list(path string, got any, want reflect.Type) []*ValueError {
+func walkList(path string, got any, want reflect.Type) []*ValueError {
 	items, ok := got.([]any)
 	if !ok {
 		if got == nil {
 			return nil
 		}
-		return mismatch(path, got, "a list")
+		return typeMismatch(path, got, "a list")
 	}
 	var out []*ValueError
 	for i, item := range items {
@@ -94,22 +96,22 @@
 	return out
 }
 
-func table(path string, got any, want reflect.Type) []*ValueError {
+func walkMap(path string, got any, want reflect.Type) []*ValueError {
 	m, ok := got.(map[string]any)
 	if !ok {
 		if got == nil {
 			return nil
 		}
-		return mismatch(path, got, "an object")
+		return typeMismatch(path, got, "an object")
 	}
 	var out []*ValueError
 	for _, name := range sortedKeys(m) {
-		out = append(out, walk(join(path, name), m[name], want.Elem())...)
+		out = append(out, walk(joinPath(path, name), m[name], want.Elem())...)
 	}
 	return out
 }
 
-func scalar(path string, got any, want reflect.Type) []*ValueError {
+func walkScalar(path string, got any, want reflect.Type) []*ValueError {
 	b, err := json.Marshal(got)
 	if err != nil {
 		return nil
@@ -117,10 +119,10 @@
 	if got != nil && json.Unmarshal(b, reflect.New(want).Interface()) == nil {
 		return nil
 	}
-	return mismatch(path, got, kindName(want))
+	return typeMismatch(path, got, typeName(want))
 }
 
-func mismatch(path string, got any, want string) []*ValueError {
+func typeMismatch(path string, got any, want string) []*ValueError {
 	b, _ := json.Marshal(got)
 	return []*ValueError{{
 		Path: path,
@@ -129,7 +131,7 @@
 	}}
 }
 
-func kindName(t reflect.Type) string {
+func typeName(t reflect.Type) string {
 	switch t.Kind() {
 	case reflect.String:
 		return "a string"
@@ -147,7 +149,7 @@
 	return keys
 }
 
-func join(path, name string) string {
+func joinPath(path, name string) string {
 	if path == "" {
 		return name
 	}
--- a/start/check_test.go
+++ b/start/check_test.go
@@ -19,7 +19,7 @@
 	}
 }
 
-func TestCheckNamesWhatIsWrong(t *testing.T) {
+func TestCheckReportsInvalidField(t *testing.T) {
 	tests := []struct {
 		name string
 		text string
@@ -38,7 +38,7 @@
 				t.Fatal(err)
 			}
 			_, err := Check(file)
-			var report *setup.Report
+			var report *setup.ValidationError
 			if !errors.As(err, &report) || !strings.Contains(report.Error(), tt.want) {
 				t.Errorf("got %v, want a report that names %q", err, tt.want)
 			}
--- a/start/debug.go
+++ b/start/debug.go
@@ -9,33 +9,33 @@
 	"geraniumpass/platform"
 )
 
-// readyMux answers whether this entry is ready, and shows what it knows.
+// readyMux serves the readiness endpoint and the debug endpoints.
 func (g *gateway) readyMux(counts *meter.Meter) *http.ServeMux {
 	mux := http.NewServeMux()
-	mux.HandleFunc(platform.ReadyPath, g.answerReady)
+	mux.HandleFunc(platform.ReadyPath, g.handleReady)
 	mux.Handle("/debug/vars", expvar.Handler())
-	mux.HandleFunc("/debug/classes", g.show(func() any { return counts.Rows() }))
-	mux.HandleFunc("/debug/ends", g.show(func() any {
-		known, _ := g.ends.Since(0)
+	mux.HandleFunc("/debug/classes", g.serveJSON(func() any { return counts.Rows() }))
+	mux.HandleFunc("/debug/ends", g.serveJSON(func() any {
+		known, _ := g.crashes.Since(0)
 		return known
 	}))
-	mux.HandleFunc("/debug/limits", g.show(func() any {
+	mux.HandleFunc("/debug/limits", g.serveJSON(func() any {
 		known, _ := g.quotas.Since(0)
 		return known
 	}))
-	mux.HandleFunc("/debug/leaving", g.show(func() any {
+	mux.HandleFunc("/debug/leaving", g.serveJSON(func() any {
 		known, _ := g.leaving.Since(0)
 		return known
 	}))
 	return mux
 }
 
-// show answers with what is known at the moment of the question.
-func (g *gateway) show(what func() any) http.HandlerFunc {
+// serveJSON serves value() as JSON, evaluated on each request.
+func (g *gateway) serveJSON(value func() any) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		if err := json.NewEncoder(w).Encode(what()); err != nil {
-			g.log.Warn("question not answered", "path", r.URL.Path, "error", err)
+		if err := json.NewEncoder(w).Encode(value()); err != nil {
+			g.log.Warn("failed to write debug response", "path", r.URL.Path, "error", err)
 		}
 	}
 }
--- a/start/doc.go
+++ b/start/doc.go
@@ -1,2 +1,2 @@
-// Package start wires a role from its settings and runs it until it is told to stop.
+// Package start assembles a role from its settings and runs it until it receives a stop signal.
 package start
--- a/start/gateway.go
+++ b/start/gateway.go
@@ -32,21 +32,26 @@
 )
 
 const (
-	// memoryShare is the part of a machine's memory that the runtime may fill before it collects in earnest.
-	memoryShare = 0.7
-	// sweepEvery is how often what belongs to ended instances is forgotten.
-	sweepEvery = time.Second
-	// headTimeout bounds the time for a request's head, idleTimeout that of an idle connection, above any that the platform states.
-	headTimeout = 10 * time.Second
-	idleTimeout = 5 * time.Minute
-	// maxHead bounds a request's head in bytes, above what the platform's callers keep to.
-	maxHead = 64 << 10
-	// unlisted is how long the platform may go on sending new connections after readiness ended: two of its questions a second apart, and some.
-	unlisted = 2500 * time.Millisecond
-	// stopReserve is kept of the grace to end by ourselves before the platform kills the process.
-	stopReserve = 200 * time.Millisecond
-	// joinEvery is how often the own entry in the list of members is tried until it stands.
-	joinEvery = time.Second
+	// memoryLimitRatio is the fraction of the machine's memory used as the soft memory limit of the
+	// Go runtime, above which garbage is collected more often.
+	memoryLimitRatio = 0.7
+	// sweepInterval is the interval at which state of terminated instances is evicted.
+	sweepInterval = time.Second
+	// readHeaderTimeout bounds reading a request's header and idleTimeout an idle connection; both
+	// exceed every timeout that the platform specifies.
+	readHeaderTimeout = 10 * time.Second
+	idleTimeout       = 5 * time.Minute
+	// maxHeaderBytes bounds a request's header in bytes, above the limit that the platform's
+	// callers observe.
+	maxHeaderBytes = 64 << 10
+	// deregistrationDelay is how long the platform may keep sending new connections after readiness
+	// ends: two readiness checks one second apart, plus a margin.
+	deregistrationDelay = 2500 * time.Millisecond
+	// shutdownReserve is the part of the grace period left unused, so that the process exits before
+	// the platform kills it.
+	shutdownReserve = 200 * time.Millisecond
+	// registerRetryInterval is the interval between attempts to register in the member list.
+	registerRetryInterval = time.Second
 )
 
 // Gateway runs the gateway role with the settings in file until SIGTERM or SIGINT.
@@ -55,17 +60,18 @@
 	if err := setup.Load(file, cfg); err != nil {
 		return err
 	}
-	i, closeLog := process(cfg.Log, cfg.Limits)
+	i, closeLog := newProcess(cfg.Log, cfg.Limits)
 	defer closeLog()
 	do.ProvideValue(i, cfg)
 	return newGateway(i).run()
 }
 
-// process provides what every role of the platform needs: clock, log, memory limit.
-func process(l setup.Log, limits setup.Limits) (do.Injector, func()) {
+// newProcess provides what every role of the platform needs (clock, log, memory limit). The
+// returned function closes the log.
+func newProcess(l setup.Log, limits setup.Limits) (do.Injector, func()) {
 	check.ConfigureFromEnvironment()
 	if limits.MemoryMB > 0 {
-		debug.SetMemoryLimit(int64(float64(limits.MemoryMB<<20) * memoryShare))
+		debug.SetMemoryLimit(int64(float64(limits.MemoryMB<<20) * memoryLimitRatio))
 	}
 	w := logio.New(os.Stdout)
 	return provide(l, w), w.Close
@@ -73,21 +79,21 @@
 
 // gateway is a running gateway role.
 type gateway struct {
-	cfg     *setup.Gateway
-	log     hclog.Logger
-	clock   clockwork.Clock
-	keeper  *view.Cache
-	source  *platform.Source
-	ends    *crash.Registry
-	quotas  *quota.Registry
-	leaving *leave.Registry
-	writer  *crash.Publisher
-	gate    *gate.Gate
-	own     wire.Identity
-	front   *http.Server
-	ready   *http.Server
-	links   *fasthttp.Server
-	// stopping is closed when SIGTERM came.
+	cfg         *setup.Gateway
+	log         hclog.Logger
+	clock       clockwork.Clock
+	cache       *view.Cache
+	source      *platform.Source
+	crashes     *crash.Registry
+	quotas      *quota.Registry
+	leaving     *leave.Registry
+	publisher   *crash.Publisher
+	gate        *gate.Gate
+	identity    wire.Identity
+	frontServer *http.Server
+	readyServer *http.Server
+	linkServer  *fasthttp.Server
+	// stopping is closed when the process begins to stop.
 	stopping chan struct{}
 }
 
@@ -95,25 +101,25 @@
 	cfg := do.MustInvoke[*setup.Gateway](i)
 	log := do.MustInvoke[hclog.Logger](i)
 	clock := do.MustInvoke[clockwork.Clock](i)
-	keeper := view.NewCache(cfg.ID, clock, log.Named("view"))
+	cache := view.NewCache(cfg.ID, clock, log.Named("view"))
 	counts := meter.New(clock)
 	st := platform.NewStore(cfg.Store)
-	ends := crash.New(clock, log.Named("crash"))
+	crashes := crash.New(clock, log.Named("crash"))
 	leaving := leave.New(clock, log.Named("leave"))
 	quotas := quota.New(cfg.ID, clock, log.Named("quota"))
 	source := platform.NewSource(st, log.Named("store"))
-	source.MergeEndsInto(ends)
+	source.MergeEndsInto(crashes)
 	g := &gateway{
 		cfg:     cfg,
 		log:     log,
 		clock:   clock,
-		keeper:  keeper,
+		cache:   cache,
 		source:  source,
-		ends:    ends,
+		crashes: crashes,
 		quotas:  quotas,
 		leaving: leaving,
-		writer: &crash.Publisher{
-			Registry: ends,
+		publisher: &crash.Publisher{
+			Registry: crashes,
 			Store:    st,
 			Key:      platform.EndsKey(cfg.ID),
 			Log:      log.Named("crash"),
@@ -128,11 +134,11 @@
 			},
 			Started: clock.Now(),
 			Key:     []byte(cfg.LinkKey),
-			Crashes: ends,
+			Crashes: crashes,
 			Quotas:  quotas,
 			Leaving: leaving,
-		}, clock, log.Named("gate"), keeper, platform.Dialect{}, counts),
-		own: wire.Identity{
+		}, clock, log.Named("gate"), cache, platform.Dialect{}, counts),
+		identity: wire.Identity{
 			ID:          cfg.ID,
 			Role:        wire.RoleEntry,
 			Domain:      cfg.Domain,
@@ -140,26 +146,26 @@
 		},
 		stopping: make(chan struct{}),
 	}
-	g.front = &http.Server{
+	g.frontServer = &http.Server{
 		Handler:           g.gate,
-		ReadHeaderTimeout: headTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 		IdleTimeout:       idleTimeout,
-		MaxHeaderBytes:    maxHead,
+		MaxHeaderBytes:    maxHeaderBytes,
 		ErrorLog:          log.Named("http").StandardLogger(&hclog.StandardLoggerOptions{}),
 	}
-	g.ready = &http.Server{
+	g.readyServer = &http.Server{
 		Handler:           g.readyMux(counts),
-		ReadHeaderTimeout: headTimeout,
+		ReadHeaderTimeout: readHeaderTimeout,
 	}
 	server := &peer.Server{
-		View:         keeper,
-		Terminations: ends,
+		View:         cache,
+		Terminations: crashes,
 		Quotas:       quotas,
 		Leaving:      leaving,
 	}
-	g.links = &fasthttp.Server{
+	g.linkServer = &fasthttp.Server{
 		Handler: func(ctx *fasthttp.RequestCtx) {
-			err := wire.Accept(ctx, g.own, []byte(cfg.LinkKey), server.Serve)
+			err := wire.Accept(ctx, g.identity, []byte(cfg.LinkKey), server.Serve)
 			if err != nil {
 				log.Warn("link refused", "error", err)
 			}
@@ -168,15 +174,16 @@
 	return g
 }
 
-// answerReady tells the platform whether this entry takes new connections: once it has a table, until it stops.
-func (g *gateway) answerReady(w http.ResponseWriter, _ *http.Request) {
+// handleReady answers the platform's readiness check: ready once a routing table is loaded, until
+// the process begins to stop.
+func (g *gateway) handleReady(w http.ResponseWriter, _ *http.Request) {
 	select {
 	case <-g.stopping:
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	default:
 	}
-	if g.keeper.Now().Table == nil {
+	if g.cache.Now().Table == nil {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -194,9 +201,9 @@
 		address string
 		serve   func(net.Listener) error
 	}{
-		{g.cfg.Listen, g.front.Serve},
-		{g.cfg.Ready, g.ready.Serve},
-		{g.cfg.Control, g.links.Serve},
+		{g.cfg.Listen, g.frontServer.Serve},
+		{g.cfg.Ready, g.readyServer.Serve},
+		{g.cfg.Control, g.linkServer.Serve},
 	} {
 		ln, err := net.Listen("tcp4", s.address)
 		if err != nil {
@@ -204,20 +211,20 @@
 		}
 		go func() { failed <- s.serve(ln) }()
 	}
-	go g.keeper.Run(ctx, g.source)
-	go g.join(ctx)
+	go g.cache.Run(ctx, g.source)
+	go g.register(ctx)
 	go (&peer.Poller{
-		Self:         g.own,
+		Self:         g.identity,
 		Key:          []byte(g.cfg.LinkKey),
 		Seeds:        g.cfg.Seeds,
-		View:         g.keeper,
-		Terminations: g.ends,
+		View:         g.cache,
+		Terminations: g.crashes,
 		Quotas:       g.quotas,
 		Leaving:      g.leaving,
 		Log:          g.log.Named("peer"),
 	}).Run(ctx)
-	go g.writer.Run(ctx)
-	go g.sweep(ctx)
+	go g.publisher.Run(ctx)
+	go g.runSweep(ctx)
 	for {
 		select {
 		case err := <-failed:
@@ -231,14 +238,15 @@
 	}
 }
 
-// reload reads the settings again; nothing in them may change while the process runs, so that they are only checked.
+// reload validates the settings file. The running process keeps its settings, since none of them
+// may change at run time.
 func (g *gateway) reload() {
 	err := setup.Load(os.Getenv(SettingsVariable), &setup.Gateway{})
-	g.log.Info("settings read again", "error", err)
+	g.log.Info("settings file checked on SIGHUP", "error", err)
 }
 
-func (g *gateway) sweep(ctx context.Context) {
-	t := g.clock.NewTicker(sweepEvery)
+func (g *gateway) runSweep(ctx context.Context) {
+	t := g.clock.NewTicker(sweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -250,16 +258,17 @@
 	}
 }
 
-// join writes the own entry in the list of members, through which peers find this process.
-func (g *gateway) join(ctx context.Context) {
-	t := g.clock.NewTicker(joinEvery)
+// register adds this process to the member list, through which peers discover it, and retries until
+// it succeeds.
+func (g *gateway) register(ctx context.Context) {
+	t := g.clock.NewTicker(registerRetryInterval)
 	defer t.Stop()
 	for {
 		err := g.source.Register(ctx, g.cfg.ID, g.cfg.Control)
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		g.log.Warn("not in the list of members yet", "error", err)
+		g.log.Warn("failed to register in the member list; retrying", "error", err)
 		select {
 		case <-ctx.Done():
 		case <-t.Chan():
@@ -267,17 +276,19 @@
 	}
 }
 
-// stop lets the platform take this entry out of rotation, then closes its listener and idle connections, and ends once nothing is in
-// flight: a request taken later could not be sure to end within the grace.
+// stop fails readiness, waits for the platform to remove this entry from rotation, closes the
+// listener and idle connections, and returns once no request is in flight or the grace period is
+// nearly over. The listener is closed early because a request accepted later might not finish
+// within the grace period.
 func (g *gateway) stop() error {
 	started := g.clock.Now()
 	g.log.Info("stop", "in_flight", g.gate.InFlight())
 	close(g.stopping)
 	g.gate.Drain()
-	g.clock.Sleep(min(unlisted, g.cfg.Grace.Duration/4))
-	ctx, cancel := context.WithTimeout(context.Background(), g.cfg.Grace.Duration-g.clock.Since(started)-stopReserve)
+	g.clock.Sleep(min(deregistrationDelay, g.cfg.Grace.Duration/4))
+	ctx, cancel := context.WithTimeout(context.Background(), g.cfg.Grace.Duration-g.clock.Since(started)-shutdownReserve)
 	defer cancel()
-	err := g.front.Shutdown(ctx)
+	err := g.frontServer.Shutdown(ctx)
 	check.Assert(check.GracefulStop, err != nil || g.gate.InFlight() == 0, "%d requests in flight", g.gate.InFlight())
 	g.log.Info("stopped", "after", g.clock.Since(started).String(), "in_flight", g.gate.InFlight(), "error", err)
 	return nil
--- a/start/role.go
+++ b/start/role.go
@@ -26,7 +26,7 @@
 	if err := setup.Load(file, cfg); err != nil {
 		return err
 	}
-	i := base(cfg.Log)
+	i := newInjector(cfg.Log)
 	do.ProvideValue(i, cfg)
 	do.ProvideValue[store.Store](i, platform.NewStore(cfg.Platform.KeyValue))
 	do.ProvideValue[entry.Lister](i, &entry.HTTPLister{Address: cfg.Platform.InstanceList})
@@ -35,7 +35,7 @@
 	if err != nil {
 		return errs.Wrap(err)
 	}
-	return run(e.Run)
+	return runUntilSignal(e.Run)
 }
 
 // Agent runs the agent role with the settings in file until SIGTERM or SIGINT.
@@ -44,7 +44,7 @@
 	if err := setup.Load(file, cfg); err != nil {
 		return err
 	}
-	i := base(cfg.Log)
+	i := newInjector(cfg.Log)
 	do.ProvideValue(i, cfg)
 	do.ProvideValue[agent.Upstream](i, agent.NewHTTPUpstream(cfg.Upstream.Address))
 	do.Provide(i, agent.New)
@@ -52,10 +52,11 @@
 	if err != nil {
 		return errs.Wrap(err)
 	}
-	return run(a.Run)
+	return runUntilSignal(a.Run)
 }
 
-// Check validates a settings file of any role and returns its role, or a *setup.Report.
+// Check validates the settings file of any role and returns the role. It fails with a
+// *setup.ValidationError if the settings are invalid.
 func Check(file string) (string, error) {
 	role, err := setup.Role(file)
 	if err != nil {
@@ -70,12 +71,12 @@
 	return role, setup.Load(file, settings[role])
 }
 
-func base(cfg setup.Log) do.Injector {
+func newInjector(cfg setup.Log) do.Injector {
 	check.ConfigureFromEnvironment()
 	return provide(cfg, hclog.DefaultOutput)
 }
 
-// provide provides what every role needs: a clock, and a log that is written to out.
+// provide registers what every role needs: a clock and a log that writes to out.
 func provide(cfg setup.Log, out io.Writer) do.Injector {
 	i := do.New()
 	do.ProvideValue[clockwork.Clock](i, clockwork.NewRealClock())
@@ -95,7 +96,8 @@
 	return cfg.Level
 }
 
-func run(fn func(context.Context) error) error {
+// runUntilSignal runs fn with a context that is cancelled on SIGTERM or SIGINT.
+func runUntilSignal(fn func(context.Context) error) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	return fn(ctx)
--- a/start/settings.go
+++ b/start/settings.go
@@ -1,4 +1,4 @@
 package start
 
-// SettingsVariable names the environment variable that holds the path of a platform role's settings.
+// SettingsVariable is the environment variable with the path of a platform role's settings file.
 const SettingsVariable = "GERANIUMPASS_BOOT"
--- a/start/sidecar.go
+++ b/start/sidecar.go
@@ -20,9 +20,10 @@
 	"geraniumpass/wire"
 )
 
-// mapBudget is one copy a rank and switch: a copy takes some 400 ms, those of a rank follow each other, and popularity turns over every
-// few seconds, so that many small switches beat few large ones.
-var mapBudget = place.Budget{
+// rebalanceBudget allows one expert copy per rank and map switch. A copy takes about 400 ms, a rank
+// copies one expert at a time, and expert popularity changes within seconds, so many small switches
+// are better than a few large ones.
+var rebalanceBudget = place.Budget{
 	PerRank: 1,
 	MinGain: 0.012,
 }
@@ -33,7 +34,7 @@
 	if err := setup.Load(file, cfg); err != nil {
 		return err
 	}
-	i, closeLog := process(cfg.Log, cfg.Limits)
+	i, closeLog := newProcess(cfg.Log, cfg.Limits)
 	defer closeLog()
 	log := do.MustInvoke[hclog.Logger](i)
 	clock := do.MustInvoke[clockwork.Clock](i)
@@ -61,7 +62,7 @@
 		Service: cfg.Service,
 		Prefix:  platform.LeaderPrefix,
 		Port:    port,
-		Budget:  mapBudget,
+		Budget:  rebalanceBudget,
 
 		SlowPrefix: platform.PacePrefix,
 	}
@@ -84,7 +85,7 @@
 	return waitForStop(failed, log)
 }
 
-// waitForStop returns when the process is told to end or a server fails.
+// waitForStop returns nil on SIGTERM or SIGINT, or the error of a failed server.
 func waitForStop(failed <-chan error, log hclog.Logger) error {
 	signals := make(chan os.Signal, 4)
 	signal.Notify(signals, syscall.SIGTERM, os.Interrupt, syscall.SIGHUP)
@@ -94,7 +95,7 @@
 			return errs.Wrap(err)
 		case s := <-signals:
 			if s == syscall.SIGHUP {
-				log.Info("settings are read at the start only")
+				log.Info("SIGHUP ignored; settings are read only at startup")
 				continue
 			}
 			log.Info("stop")
--- a/start/stop_test.go
+++ b/start/stop_test.go
@@ -24,14 +24,14 @@
 	"geraniumpass/view"
 )
 
-// stopping is a gateway before one server, served on a free port.
-type stopping struct {
+// gatewayFixture is a gateway on a free port in front of one emulated server.
+type gatewayFixture struct {
 	g       *gateway
 	server  *emul.Server
 	address string
 }
 
-func newStopping(t *testing.T) *stopping {
+func newGatewayFixture(t *testing.T) *gatewayFixture {
 	t.Helper()
 	check.SetFatal(true)
 	srv, err := emul.NewServer("i-0")
@@ -49,7 +49,7 @@
 	do.ProvideValue[clockwork.Clock](i, clockwork.NewRealClock())
 	do.ProvideValue(i, hclog.NewNullLogger())
 	g := newGateway(i)
-	g.keeper.Apply(view.Change{
+	g.cache.Apply(view.Change{
 		Rev:  1,
 		Full: true,
 		Put:  []core.Instance{{ID: "i-0", Service: "svc", Address: srv.Address()}},
@@ -65,16 +65,16 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	go func() { _ = g.front.Serve(ln) }()
-	return &stopping{
+	go func() { _ = g.frontServer.Serve(ln) }()
+	return &gatewayFixture{
 		g:       g,
 		server:  srv,
 		address: ln.Addr().String(),
 	}
 }
 
-// ask returns a stream's body and whether it was whole.
-func (s *stopping) ask(id string) (string, error) {
+// streamBody returns the body of a stream and an error if the stream was incomplete.
+func (s *gatewayFixture) streamBody(id string) (string, error) {
 	req, err := emul.StreamRequest(context.Background(), s.address, "h", id)
 	if err != nil {
 		return "", err
@@ -88,38 +88,40 @@
 	return string(b), err
 }
 
-// result is how a stream ended.
-type result struct {
+// streamResult is the outcome of a stream.
+type streamResult struct {
 	body string
 	err  error
 }
 
-// awaitClosed waits until no new connection is taken, which must be before the stream in flight has ended; ended is true when that came first.
-func (s *stopping) awaitClosed(t *testing.T, first <-chan result) (r result, ended bool) {
+// awaitClosed waits until new connections are refused. It fails the test and reports ended if the
+// stream in flight ends first.
+func (s *gatewayFixture) awaitClosed(t *testing.T, first <-chan streamResult) (r streamResult, ended bool) {
 	t.Helper()
 	for {
 		c, err := net.Dial("tcp4", s.address)
 		if err != nil {
-			return result{}, false
+			return streamResult{}, false
 		}
 		_ = c.Close()
 		select {
 		case r := <-first:
-			t.Error("new connections are taken for as long as a stream is in flight")
+			t.Error("new connections are accepted until the stream in flight ends")
 			return r, true
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
 }
 
-// TestStopFinishesWhatItTookAndTakesNothingLate has a stream in flight that lasts longer than the platform goes on sending new connections.
-func TestStopFinishesWhatItTookAndTakesNothingLate(t *testing.T) {
-	s := newStopping(t)
+// TestStopDrainsInFlightAndRejectsLateRequests guards against cutting a stream that outlasts the
+// platform's deregistration delay, and against accepting new requests until that stream ends.
+func TestStopDrainsInFlightAndRejectsLateRequests(t *testing.T) {
+	s := newGatewayFixture(t)
 	s.server.Pause = 700 * time.Millisecond
-	first := make(chan result, 1)
+	first := make(chan streamResult, 1)
 	go func() {
-		b, err := s.ask("a-1")
-		first <- result{
+		b, err := s.streamBody("a-1")
+		first <- streamResult{
 			body: b,
 			err:  err,
 		}
@@ -130,7 +132,7 @@
 	stopped := make(chan error, 1)
 	go func() { stopped <- s.g.stop() }()
 	<-s.g.stopping
-	if _, err := s.ask("a-2"); err != nil {
+	if _, err := s.streamBody("a-2"); err != nil {
 		t.Errorf("a request right after SIGTERM: %v", err)
 	}
 	r, early := s.awaitClosed(t, first)
@@ -143,23 +145,23 @@
 	if r.err != nil || !strings.HasSuffix(r.body, emul.Event("a-1", s.server.Events-1)) {
 		t.Errorf("the stream in flight: %v, %q", r.err, r.body)
 	}
-	if _, err := s.ask("a-3"); err == nil || s.server.Runs("a-3") != 0 {
-		t.Error("a request was taken after the stop")
+	if _, err := s.streamBody("a-3"); err == nil || s.server.Runs("a-3") != 0 {
+		t.Error("a request was accepted after the stop")
 	}
 }
 
-func TestClassesAreTold(t *testing.T) {
-	s := newStopping(t)
-	if _, err := s.ask("a-1"); err != nil {
+func TestDebugClassesServesRows(t *testing.T) {
+	s := newGatewayFixture(t)
+	if _, err := s.streamBody("a-1"); err != nil {
 		t.Fatal(err)
 	}
 	rec := httptest.NewRecorder()
-	s.g.ready.Handler.ServeHTTP(rec, httptest.NewRequestWithContext(context.Background(), http.MethodGet, "/debug/classes", nil))
+	s.g.readyServer.Handler.ServeHTTP(rec, httptest.NewRequestWithContext(context.Background(), http.MethodGet, "/debug/classes", nil))
 	var rows []meter.Row
 	if err := json.Unmarshal(rec.Body.Bytes(), &rows); err != nil {
 		t.Fatal(err)
 	}
-	if len(rows) != 1 || rows[0].Class != "flow" || rows[0].Counts[meter.ResultWhole] != 1 {
-		t.Errorf("told %+v", rows)
+	if len(rows) != 1 || rows[0].Class != "flow" || rows[0].Counts[meter.ResultComplete] != 1 {
+		t.Errorf("got rows %+v", rows)
 	}
 }
