--- a/agent/agent.go
+++ b/agent/agent.go
@@ -20,14 +20,15 @@
 )
 
 const (
-	tickEvery   = 100 * time.Millisecond
-	healthEvery = 500 * time.Millisecond
-	expireEvery = 30 * time.Second
-	flushTime   = time.Second
-	sessionsFor = time.Hour
+	tickInterval        = 100 * time.Millisecond
+	healthCheckInterval = 500 * time.Millisecond
+	expireInterval      = 30 * time.Second
+	flushTimeout        = time.Second
+	sessionRetention    = time.Hour
 )
 
-// Agent is the process beside one upstream.
+// Agent is the process in front of one upstream. It owns the request queue and dispatches to that
+// upstream.
 type Agent struct {
 	cfg      *setup.Agent
 	log      hclog.Logger
@@ -37,32 +38,32 @@
 	config   *config.Holder
 	upstream Upstream
 	sessions *sessions
-	transits *transits
+	transits *transitTracker
 	runs     *runs
 	rank     *rank
 	app      *fiber.App
 
-	// sched guards the queue and the limiter, which decide what runs next.
-	sched    sync.Mutex
-	queue    *queue.Queue
-	limiter  *queue.Limiter
-	running  int
-	nextItem uint64
-	waiting  map[uint64]*run
-	// runningCost is the cost of what runs now.
+	// schedMu guards queue, limiter, running, lastItemID, waiting and runningCost.
+	schedMu    sync.Mutex
+	queue      *queue.Queue
+	limiter    *queue.Limiter
+	running    int
+	lastItemID uint64
+	waiting    map[uint64]*run
+	// runningCost is the total cost of the running attempts.
 	runningCost float64
 
-	leaving atomic.Bool
-	healthy atomic.Bool
-	lastAsk atomic.Int64
-	leftAt  atomic.Int64
-	// stuck counts the attempts that wait for an upstream which has stopped.
-	stuck      atomic.Int64
-	inFlight   sync.WaitGroup
-	background sync.WaitGroup
+	leaving           atomic.Bool
+	healthy           atomic.Bool
+	lastConfigRequest atomic.Int64
+	leavingSince      atomic.Int64
+	// stalledAttempts counts the attempts blocked on a stalled upstream.
+	stalledAttempts atomic.Int64
+	inFlight        sync.WaitGroup
+	background      sync.WaitGroup
 }
 
-// New builds an agent from what the injector provides: *setup.Agent, hclog.Logger, clockwork.Clock and Upstream.
+// New builds an agent from the injected *setup.Agent, hclog.Logger, clockwork.Clock and Upstream.
 func New(i do.Injector) (*Agent, error) {
 	cfg, err := do.Invoke[*setup.Agent](i)
 	if err != nil {
@@ -91,11 +92,11 @@
 		log:      log.With("agent", cfg.ID),
 		clock:    clock,
 		self:     self,
-		ledger:   ledger.New(clock, self.Incarnation, sessionsFor),
+		ledger:   ledger.New(clock, self.Incarnation, sessionRetention),
 		config:   config.NewHolder(clock),
 		upstream: up,
 		sessions: newSessions(),
-		transits: newTransits(clock.Now()),
+		transits: newTransitTracker(clock.Now()),
 		runs:     newRuns(),
 		queue:    queue.New(),
 		waiting:  make(map[uint64]*run),
@@ -106,7 +107,8 @@
 	return a, nil
 }
 
-// Run serves until ctx ends, then stops gracefully: it refuses new work, finishes what runs and returns.
+// Run serves until ctx is cancelled, then shuts down gracefully: it refuses new work, finishes the
+// running attempts and returns.
 func (a *Agent) Run(ctx context.Context) error {
 	a.app = a.routes()
 	failed := make(chan error, 1)
@@ -126,19 +128,19 @@
 	a.drain()
 	stop()
 	a.background.Wait()
-	a.sessions.closeAll(flushTime)
-	_ = a.app.ShutdownWithTimeout(flushTime)
+	a.sessions.closeAll(flushTimeout)
+	_ = a.app.ShutdownWithTimeout(flushTimeout)
 	a.log.Info("agent stopped")
 	return nil
 }
 
 func (a *Agent) loop(ctx context.Context) {
 	defer a.background.Done()
-	tick := a.clock.NewTicker(tickEvery)
+	tick := a.clock.NewTicker(tickInterval)
 	defer tick.Stop()
-	health := a.clock.NewTicker(healthEvery)
+	health := a.clock.NewTicker(healthCheckInterval)
 	defer health.Stop()
-	expire := a.clock.NewTicker(expireEvery)
+	expire := a.clock.NewTicker(expireInterval)
 	defer expire.Stop()
 	for {
 		select {
@@ -149,7 +151,7 @@
 			a.schedule()
 		case <-health.Chan():
 			a.checkHealth()
-			a.abandon()
+			a.abandonOrphans()
 		case <-expire.Chan():
 			a.ledger.Expire()
 			a.runs.expire(a.clock.Now())
--- a/agent/agent_test.go
+++ b/agent/agent_test.go
@@ -19,15 +19,16 @@
 )
 
 const (
-	testKey   = "key-for-links-in-tests"
-	testLimit = 10 * time.Second
+	testKey     = "key-for-links-in-tests"
+	testTimeout = 10 * time.Second
 )
 
-// startAgent runs an agent before a fake upstream until the test ends.
+// startAgent runs an agent in front of a fake upstream until the test ends.
 func startAgent(t *testing.T, up Upstream) (*Agent, context.CancelFunc) {
 	t.Helper()
 	check.SetFatal(true)
-	// Connections on the loopback interface start at 127.0.0.1, so that none takes the port before the agent listens on it.
+	// Outgoing loopback connections use 127.0.0.1, so none can take the port on 127.0.8.1 before
+	// the agent listens on it.
 	ln, err := net.Listen("tcp", "127.0.8.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -58,7 +59,7 @@
 	go func() {
 		defer close(done)
 		if err := a.Run(ctx); err != nil {
-			t.Errorf("the agent ended: %v", err)
+			t.Errorf("agent stopped with an error: %v", err)
 		}
 	}()
 	t.Cleanup(func() {
@@ -70,21 +71,21 @@
 
 func dispatch(a *Agent, n uint64, claim string) *proto.Frame {
 	return &proto.Frame{Dispatch: &proto.Dispatch{
-		N:           n,
-		Incarnation: a.self.Incarnation,
-		Request:     "request-" + claim,
-		Account:     "engineering",
-		Class:       "status",
-		Method:      "POST",
-		Path:        "/",
-		ClaimKey:    claim,
-		ClaimFor:    time.Hour,
-		Remaining:   time.Minute,
-		TargetLeft:  time.Minute,
+		N:              n,
+		Incarnation:    a.self.Incarnation,
+		Request:        "request-" + claim,
+		Account:        "engineering",
+		Class:          "status",
+		Method:         "POST",
+		Path:           "/",
+		ClaimKey:       claim,
+		ClaimRetention: time.Hour,
+		Remaining:      time.Minute,
+		TargetLeft:     time.Minute,
 	}}
 }
 
-func TestExchangeLinkTakesNoAnswers(t *testing.T) {
+func TestExchangeLinkReceivesNoAnswers(t *testing.T) {
 	t.Cleanup(func() {
 		goleak.VerifyNone(t, goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.(*workerPool).Start.func2"), goleak.IgnoreAnyFunction("github.com/valyala/fasthttp.updateServerDate.func1"))
 	})
@@ -100,7 +101,7 @@
 	}
 }
 
-func TestOrdersOfDispatchAndCancel(t *testing.T) {
+func TestDispatchAndCancelOrder(t *testing.T) {
 	cancel := func(n uint64) *proto.Frame { return &proto.Frame{Cancel: &proto.Cancel{N: n}} }
 	tests := []struct {
 		name    string
@@ -170,7 +171,7 @@
 	}
 }
 
-func TestResumeOfALostDispatchNeverRuns(t *testing.T) {
+func TestResumeOfLostDispatchNeverRuns(t *testing.T) {
 	up := &fakeUpstream{runs: make(map[string]int), parts: 1}
 	a, _ := startAgent(t, up)
 	l := dial(t, a, wire.RoleEntry, 7)
@@ -182,7 +183,7 @@
 	l.next(t)
 	l.sync(t)
 	if n := up.count("request-"); n != 0 {
-		t.Errorf("ran %d times after it was called not run", n)
+		t.Errorf("ran %d times after it was reported as not run", n)
 	}
 }
 
--- a/agent/config.go
+++ b/agent/config.go
@@ -7,17 +7,18 @@
 	"geraniumpass/proto"
 )
 
-// askEvery keeps an agent with many links from fetching the same change from each of them.
-const askEvery = 300 * time.Millisecond
+// configRequestInterval keeps an agent with many links from fetching the same change from each of
+// them.
+const configRequestInterval = 300 * time.Millisecond
 
-func (a *Agent) mayAsk() bool {
+func (a *Agent) allowConfigRequest() bool {
 	now := a.clock.Now().UnixNano()
-	last := a.lastAsk.Load()
-	return now-last > int64(askEvery) && a.lastAsk.CompareAndSwap(last, now)
+	last := a.lastConfigRequest.Load()
+	return now-last > int64(configRequestInterval) && a.lastConfigRequest.CompareAndSwap(last, now)
 }
 
-func (a *Agent) takeConfig(c *proto.Config) {
+func (a *Agent) applyConfig(c *proto.Config) {
 	if err := config.ApplyUpdate(a.config, c); err != nil {
-		a.log.Warn("configuration not taken", "error", err)
+		a.log.Warn("failed to apply configuration", "error", err)
 	}
 }
--- a/agent/doc.go
+++ b/agent/doc.go
@@ -1,2 +1,3 @@
-// Package agent runs the process beside one upstream: the only one that speaks to it and the authority on what has run there.
+// Package agent implements the process in front of one upstream. The agent is the upstream's only
+// client and the authority on which requests ran there.
 package agent
--- a/agent/fakeupstream_test.go
+++ b/agent/fakeupstream_test.go
@@ -8,7 +8,7 @@
 	"geraniumpass/proto"
 )
 
-// fakeUpstream answers each request when it is let go.
+// fakeUpstream answers every request, after gate is closed if there is one.
 type fakeUpstream struct {
 	mu    sync.Mutex
 	runs  map[string]int
--- a/agent/leave.go
+++ b/agent/leave.go
@@ -8,70 +8,74 @@
 	"geraniumpass/proto"
 )
 
-// finishTime bounds how long a stopping agent waits for entries to take what is finished.
-const finishTime = 10 * time.Second
+// answerAckTimeout bounds how long a stopping agent waits for entries to acknowledge finished
+// answers.
+const answerAckTimeout = 10 * time.Second
 
-// leave refuses all new work from now on and tells every link; it can't be taken back in this incarnation.
-func (a *Agent) leave(why string) {
+// leave refuses all new work from now on, sheds the queue and notifies every link. It cannot be
+// undone in this incarnation.
+func (a *Agent) leave(reason string) {
 	if !a.leaving.CompareAndSwap(false, true) {
 		return
 	}
-	a.leftAt.Store(a.clock.Now().UnixNano())
-	a.log.Info("leaving", "why", why)
-	a.tell()
-	a.sched.Lock()
+	a.leavingSince.Store(a.clock.Now().UnixNano())
+	a.log.Info("agent leaving", "why", reason)
+	a.broadcastReport()
+	a.schedMu.Lock()
 	waiting := a.queue.Drain()
-	a.sched.Unlock()
+	a.schedMu.Unlock()
 	a.shed(waiting, core.ReasonLeaving)
 }
 
-func (a *Agent) tell() {
+func (a *Agent) broadcastReport() {
 	for _, l := range a.sessions.all() {
 		_ = l.Send(&proto.Frame{Report: a.report()})
 	}
 }
 
-// heardTime bounds how long a stopping agent waits for entries to hear of it: longer than the beat of one that is slow.
-const heardTime = 3 * time.Second
+// leavingAckTimeout bounds how long a stopping agent waits for entries to acknowledge that it
+// leaves. It exceeds the heartbeat interval of a slow entry.
+const leavingAckTimeout = 3 * time.Second
 
-// awaitHeard waits until every linked entry knows that the agent leaves: what it sent before is here then, and is refused or run.
-func (a *Agent) awaitHeard() {
-	end := a.clock.Now().Add(heardTime)
-	for a.clock.Now().Before(end) && a.sessions.unheard() {
-		a.clock.Sleep(tickEvery / 10)
+// awaitLeavingAcks waits until every linked entry has acknowledged that the agent leaves.
+// Dispatches sent before the acknowledgement have then arrived and are refused or run.
+func (a *Agent) awaitLeavingAcks() {
+	end := a.clock.Now().Add(leavingAckTimeout)
+	for a.clock.Now().Before(end) && a.sessions.awaitingLeavingAck() {
+		a.clock.Sleep(tickInterval / 10)
 	}
 }
 
-// drain leaves, waits until nothing runs and until what has run is acknowledged.
+// drain leaves, waits for running attempts to finish, then for their answers to be acknowledged.
 func (a *Agent) drain() {
 	a.leave("stop")
-	a.awaitHeard()
+	a.awaitLeavingAcks()
 	a.inFlight.Wait()
-	a.sched.Lock()
+	a.schedMu.Lock()
 	running := a.running
-	a.sched.Unlock()
-	check.Assert(check.GracefulStop, running == 0, "%d attempts run at the end of a stop", running)
-	end := a.clock.Now().Add(finishTime)
-	for a.clock.Now().Before(end) && a.unread() {
-		a.clock.Sleep(tickEvery / 10)
+	a.schedMu.Unlock()
+	check.Assert(check.GracefulStop, running == 0, "%d attempts still running at the end of a graceful stop", running)
+	end := a.clock.Now().Add(answerAckTimeout)
+	for a.clock.Now().Before(end) && a.hasUnackedAnswers() {
+		a.clock.Sleep(tickInterval / 10)
 	}
 }
 
-// unread returns true while an entry has not acknowledged the end of a run that it reads.
-func (a *Agent) unread() bool {
+// hasUnackedAnswers reports whether an entry has yet to acknowledge the end of a run that it reads.
+func (a *Agent) hasUnackedAnswers() bool {
 	found := false
 	a.runs.each(func(r *run) {
-		found = found || r.owed(a.sessions)
+		found = found || r.hasUnackedParts(a.sessions)
 	})
 	return found
 }
 
 func (a *Agent) checkHealth() {
 	leaving, err := a.upstream.Leaving()
-	healthy := err == nil && a.loseStalled() == 0
+	healthy := err == nil && a.failStalled() == 0
 	if a.healthy.Swap(healthy) != healthy {
 		a.log.Warn("upstream health changed", "healthy", healthy, "error", err)
-		a.tell()
+		a.broadcastReport()
 	}
 	if leaving {
 		a.leave("upstream")
--- a/agent/leave_test.go
+++ b/agent/leave_test.go
@@ -9,7 +9,7 @@
 	"geraniumpass/wire"
 )
 
-func TestLeavingAgentStillAnswersForWhatItRan(t *testing.T) {
+func TestLeavingAgentAnswersRepeatedClaim(t *testing.T) {
 	up := &fakeUpstream{runs: make(map[string]int), parts: 1}
 	a, _ := startAgent(t, up)
 	l := dial(t, a, wire.RoleEntry, 7)
@@ -18,7 +18,7 @@
 		t.Fatalf("got %+v, want an answer", f)
 	}
 	l.next(t)
-	l.send(t, &proto.Frame{Drain: &proto.Drain{Who: "operator"}})
+	l.send(t, &proto.Frame{Drain: &proto.Drain{RequestedBy: "operator"}})
 	l.send(t, dispatch(a, 2, "key"))
 	if f := l.next(t); f.Answer == nil || f.Answer.N != 2 {
 		t.Errorf("got %+v for a repeat at a leaving agent, want the answer of the first run", f)
@@ -33,48 +33,49 @@
 	}
 }
 
-func TestClosedAttemptDoesNotHoldUpAStop(t *testing.T) {
+func TestClosedAttemptDoesNotDelayStop(t *testing.T) {
 	up := &fakeUpstream{runs: make(map[string]int), parts: 1}
 	a, _ := startAgent(t, up)
 	l := dial(t, a, wire.RoleEntry, 7)
 	l.send(t, dispatch(a, 1, ""))
 	l.next(t)
 	l.next(t)
-	if !a.unread() {
-		t.Fatal("the answer is not acknowledged, so that it must be owed")
+	if !a.hasUnackedAnswers() {
+		t.Fatal("unacknowledged answer is not reported as such")
 	}
-	// The entry closed the attempt while its link was down: neither an acknowledgement nor a cancel came.
+	// The entry closed the attempt while its link was down, so neither an ack nor a cancel arrived.
 	l.send(t, &proto.Frame{Heartbeat: &proto.Heartbeat{Floor: 2}})
-	end := time.Now().Add(testLimit)
-	for a.unread() {
+	end := time.Now().Add(testTimeout)
+	for a.hasUnackedAnswers() {
 		if time.Now().After(end) {
-			t.Fatal("a closed attempt is still owed")
+			t.Fatal("closed attempt still counts as unacknowledged")
 		}
 		l.sync(t)
 	}
 }
 
-// TestStoppingAgentRefusesWhatWasOnItsWay plays an entry that is slow to hear that the agent leaves: what it sends meanwhile must be
-// refused as not run, not lost with the link.
-func TestStoppingAgentRefusesWhatWasOnItsWay(t *testing.T) {
+// TestStoppingAgentRefusesInFlightDispatch guards against losing a dispatch from an entry that does
+// not yet know the agent is leaving: the dispatch must be refused as not run instead of being lost
+// with the link.
+func TestStoppingAgentRefusesInFlightDispatch(t *testing.T) {
 	up := &fakeUpstream{runs: make(map[string]int), parts: 1}
 	a, stop := startAgent(t, up)
 	l := dial(t, a, wire.RoleEntry, 7)
 	l.sync(t)
 	stop()
 	l.awaitLeaving(t)
-	// Well after an agent with nothing to do would have ended.
+	// An idle agent that did not wait for acknowledgements would have exited long before this.
 	<-time.After(300 * time.Millisecond)
 	l.send(t, dispatch(a, 1, ""))
 	f := l.next(t)
 	if f.Refused == nil || f.Refused.Outcome != core.OutcomeNotRun || up.count("request-") != 0 {
 		t.Errorf("got %+v after %d runs, want a refusal", f, up.count("request-"))
 	}
-	l.send(t, &proto.Frame{Heartbeat: &proto.Heartbeat{Heard: true}})
-	end := time.Now().Add(testLimit)
-	for a.sessions.unheard() {
+	l.send(t, &proto.Frame{Heartbeat: &proto.Heartbeat{LeavingAck: true}})
+	end := time.Now().Add(testTimeout)
+	for a.sessions.awaitingLeavingAck() {
 		if time.Now().After(end) {
-			t.Fatal("the agent still waits though its leaving was heard")
+			t.Fatal("agent still waits after the entry acknowledged that it leaves")
 		}
 		<-time.After(time.Millisecond)
 	}
--- a/agent/rank.go
+++ b/agent/rank.go
@@ -13,14 +13,16 @@
 	"geraniumpass/wire"
 )
 
-// settleTime is how long an agent waits after its start before it speaks for a rank whose engine doesn't check fencing
-// numbers: an order that its predecessor had under way must have landed before the engine's state is reported.
-const settleTime = controlTime + 500*time.Millisecond
+// settleDelay is how long an agent waits after its start before it answers for a rank whose engine
+// does not check fencing tokens. An order in flight from its predecessor must have taken effect
+// before the engine's state is reported.
+const settleDelay = controlTimeout + 500*time.Millisecond
 
-// rank guards the upstream's place in a rank group; it is idle when the upstream has none.
+// rank applies a group leader's orders to the upstream's engine. It is idle when the upstream
+// belongs to no rank group.
 type rank struct {
-	a       *Agent
-	settled time.Time
+	a         *Agent
+	settledAt time.Time
 
 	mu    sync.Mutex
 	guard epmap.Guard
@@ -28,19 +30,20 @@
 
 func newRank(a *Agent) *rank {
 	r := &rank{
-		a:       a,
-		settled: a.clock.Now(),
-		guard:   epmap.Guard{Incarnation: a.self.Incarnation},
+		a:         a,
+		settledAt: a.clock.Now(),
+		guard:     epmap.Guard{Incarnation: a.self.Incarnation},
 	}
 	if !a.cfg.Upstream.ChecksFence {
-		r.settled = r.settled.Add(settleTime)
+		r.settledAt = r.settledAt.Add(settleDelay)
 	}
 	return r
 }
 
-// order carries a leader's order out, one at a time, and replies unless the engine could not be asked.
-func (r *rank) order(l *wire.Link, o *proto.Order) {
-	if r.a.cfg.Upstream.Group == "" || r.a.clock.Now().Before(r.settled) {
+// handleOrder executes a leader's orders one at a time. It sends no reply when the engine could not
+// be reached.
+func (r *rank) handleOrder(l *wire.Link, o *proto.Order) {
+	if r.a.cfg.Upstream.Group == "" || r.a.clock.Now().Before(r.settledAt) {
 		return
 	}
 	r.mu.Lock()
@@ -50,13 +53,13 @@
 		reply.Rank.Map, reply.Rank.Tokens = nil, nil
 	}
 	if err != nil {
-		r.a.log.Warn("engine did not take an order", "kind", o.Kind, "fence", o.Fence, "error", err)
+		r.a.log.Warn("engine failed to execute order", "kind", o.Kind, "fence", o.Fence, "error", err)
 		return
 	}
 	_ = l.Send(&proto.Frame{OrderReply: &reply})
 }
 
-// Apply implements epmap.Engine by a call to the engine, which answers with what the rank holds.
+// Apply implements epmap.Engine. It calls the engine, which replies with the rank's state.
 func (r *rank) Apply(o *proto.Order) (bool, proto.RankState, error) {
 	body, err := json.Marshal(engineOrder{
 		Kind:    o.Kind,
@@ -80,7 +83,7 @@
 	return reply.OK, reply.State, nil
 }
 
-// engineOrder is an order in the engine's form.
+// engineOrder is an order in the engine's JSON format.
 type engineOrder struct {
 	Kind    proto.OrderKind `json:"kind"`
 	Fence   uint64          `json:"fence"`
--- a/agent/run.go
+++ b/agent/run.go
@@ -10,35 +10,35 @@
 )
 
 const (
-	// windowParts and windowBytes bound what may be sent ahead of the acknowledgements.
+	// windowParts and windowBytes bound the unacknowledged parts and bytes of an answer.
 	windowParts = 128
 	windowBytes = 512 << 10
-	// abandonAfter is how long an attempt goes on without a link to its entry.
-	abandonAfter = 15 * time.Second
+	// orphanTimeout is how long an attempt continues without a link to any of its entries.
+	orphanTimeout = 15 * time.Second
 )
 
-// run is one attempt at this agent with the entries that read its answer.
+// run is one attempt at the upstream together with the readers of its answer.
 type run struct {
 	key       ledger.Key
 	dispatch  *proto.Dispatch
-	item      uint64
+	itemID    uint64
 	expires   time.Time
 	queuedAt  time.Time
 	startedAt time.Time
 
-	mu        sync.Mutex
-	room      *sync.Cond
-	buffer    *answer.Buffer
-	readers   []reader
-	sent      uint32
-	lastPart  time.Time
-	stuck     bool
-	acked     uint32
-	abandoned bool
-	alone     time.Time
+	mu            sync.Mutex
+	windowCond    *sync.Cond
+	buffer        *answer.Buffer
+	readers       []reader
+	sent          uint32
+	lastPart      time.Time
+	stalled       bool
+	acked         uint32
+	abandoned     bool
+	orphanedSince time.Time
 }
 
-// reader is an attempt that reads the run's answer.
+// reader is an attempt, identified by key, that reads the run's answer.
 type reader struct {
 	key  ledger.Key
 	next uint32
@@ -53,16 +53,17 @@
 		buffer:   answer.NewBuffer(d.ClaimKey != ""),
 		readers:  []reader{{key: key}},
 	}
-	r.room = sync.NewCond(&r.mu)
+	r.windowCond = sync.NewCond(&r.mu)
 	return r
 }
 
-// append stores a part and sends it to every reader; it waits while the window is full and returns false when the run was given up.
+// append stores a part and sends it to every reader. It blocks while the window is full and returns
+// false when the run was abandoned.
 func (r *run) append(p *proto.Answer, s *sessions, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for !r.abandoned && r.full() {
-		r.room.Wait()
+		r.windowCond.Wait()
 	}
 	if r.abandoned {
 		return false
@@ -92,7 +93,8 @@
 	s.send(to.Session, &proto.Frame{Answer: &c})
 }
 
-// attach adds a reader, or finds it again on a new link, and sends what it lacks from next on.
+// attach adds a reader, or reattaches it on a new link, and resends the parts from next on. It
+// returns false when those parts are no longer buffered.
 func (r *run) attach(key ledger.Key, next uint32, s *sessions) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -116,7 +118,8 @@
 	return true
 }
 
-// ack notes what a reader has and returns true when the run is over and everyone has all of it.
+// ack records that a reader has all parts below next and reports whether the run has ended and
+// every reader has all of it.
 func (r *run) ack(key ledger.Key, next uint32) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -129,11 +132,11 @@
 	}
 	r.acked = max(r.acked, low)
 	r.buffer.Ack(low)
-	r.room.Broadcast()
+	r.windowCond.Broadcast()
 	return r.buffer.Ended() && r.acked >= r.sent
 }
 
-// detach removes a reader and returns true when none is left.
+// detach removes a reader and reports whether none is left.
 func (r *run) detach(key ledger.Key) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -147,28 +150,28 @@
 	return len(kept) == 0
 }
 
-// giveUp makes every later append fail.
-func (r *run) giveUp() {
+// abandon makes every later append fail and unblocks a waiting one.
+func (r *run) abandon() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.abandoned = true
-	r.room.Broadcast()
+	r.windowCond.Broadcast()
 }
 
-// unread returns true when no reader has had a link for longer than the patience.
-func (r *run) unread(now time.Time, s *sessions) bool {
+// orphaned reports whether no reader has had a link for longer than orphanTimeout.
+func (r *run) orphaned(now time.Time, s *sessions) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, rd := range r.readers {
 		if s.connected(rd.key.Session) {
-			r.alone = time.Time{}
+			r.orphanedSince = time.Time{}
 			return false
 		}
 	}
-	if r.alone.IsZero() {
-		r.alone = now
+	if r.orphanedSince.IsZero() {
+		r.orphanedSince = now
 	}
-	return now.Sub(r.alone) > abandonAfter
+	return now.Sub(r.orphanedSince) > orphanTimeout
 }
 
 func (r *run) keys() []ledger.Key {
@@ -187,8 +190,8 @@
 	return r.buffer.Ended()
 }
 
-// owed returns true while a connected reader lacks a part of a finished answer.
-func (r *run) owed(s *sessions) bool {
+// hasUnackedParts reports whether a connected reader lacks a part of a finished answer.
+func (r *run) hasUnackedParts(s *sessions) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if !r.buffer.Ended() {
--- a/agent/runs.go
+++ b/agent/runs.go
@@ -9,7 +9,7 @@
 
 const runShards = 16
 
-// runs finds a run by the key of any attempt that reads it.
+// runs maps the key of each attempt to the run whose answer it reads.
 type runs struct {
 	shards [runShards]runShard
 }
@@ -38,7 +38,7 @@
 	s.runs[k] = r
 }
 
-// add puts a run under a key that has none and returns false when it has one.
+// add stores r under k unless k is taken, and reports whether it did.
 func (rs *runs) add(k ledger.Key, r *run) bool {
 	s := rs.shard(k)
 	s.mu.Lock()
@@ -81,10 +81,10 @@
 	}
 }
 
-// expire forgets the finished runs whose claims need no longer be kept.
+// expire removes finished runs whose claim retention has passed.
 func (rs *runs) expire(now time.Time) {
 	rs.each(func(r *run) {
-		if r.ended() && now.After(r.queuedAt.Add(r.dispatch.ClaimFor+abandonAfter)) {
+		if r.ended() && now.After(r.queuedAt.Add(r.dispatch.ClaimRetention+orphanTimeout)) {
 			rs.remove(r.keys()...)
 			rs.remove(r.key)
 		}
--- a/agent/schedule.go
+++ b/agent/schedule.go
@@ -10,30 +10,30 @@
 	"geraniumpass/queue"
 )
 
-// schedule starts as many waiting attempts as the limit allows.
+// schedule starts as many queued attempts as the concurrency limit allows.
 func (a *Agent) schedule() {
 	for {
-		r := a.next()
+		r := a.popNext()
 		if r == nil {
 			return
 		}
 		if !a.ledger.Start(r.key) {
 			a.runs.remove(append(r.keys(), r.key)...)
-			a.done(r, false)
+			a.releaseSlot(r, false)
 			continue
 		}
-		if at := a.leftAt.Load(); at != 0 {
+		if at := a.leavingSince.Load(); at != 0 {
 			since := a.clock.Now().Sub(time.Unix(0, at))
-			check.Assert(check.LeavingGetsNoWork, since < leaveGrace, "attempt %s starts %s after leaving", r.key, since)
+			check.Assert(check.LeavingGetsNoWork, since < leaveGrace, "attempt %s started %s after the agent began to leave", r.key, since)
 		}
 		a.inFlight.Add(1)
 		go a.execute(r)
 	}
 }
 
-func (a *Agent) next() *run {
-	a.sched.Lock()
-	defer a.sched.Unlock()
+func (a *Agent) popNext() *run {
+	a.schedMu.Lock()
+	defer a.schedMu.Unlock()
 	it, ok := a.queue.Pop(a.clock.Now(), a.capacity())
 	if !ok {
 		return nil
@@ -47,9 +47,9 @@
 	return r
 }
 
-func (a *Agent) done(r *run, observe bool) {
-	a.sched.Lock()
-	defer a.sched.Unlock()
+func (a *Agent) releaseSlot(r *run, observe bool) {
+	a.schedMu.Lock()
+	defer a.schedMu.Unlock()
 	a.running--
 	a.runningCost -= max(r.dispatch.Cost, 1)
 	if observe {
@@ -60,76 +60,77 @@
 
 func (a *Agent) execute(r *run) {
 	defer a.inFlight.Done()
-	r.start(a.clock.Now())
-	a.log.Debug("attempt starts", "request", r.dispatch.Request, "attempt", r.key.String())
+	r.markStarted(a.clock.Now())
+	a.log.Debug("attempt started", "request", r.dispatch.Request, "attempt", r.key.String())
 	err := a.upstream.Do(r.dispatch, r.expires, func(p *proto.Answer) error {
 		if !r.append(p, a.sessions, a.clock.Now()) {
-			return &givenUpError{}
+			return &abandonedError{}
 		}
 		return nil
 	})
-	if r.wasStuck() {
-		a.stuck.Add(-1)
+	if r.isStalled() {
+		a.stalledAttempts.Add(-1)
 	}
 	a.finish(r, err)
-	a.done(r, err == nil)
+	a.releaseSlot(r, err == nil)
 	a.schedule()
 }
 
 func (a *Agent) finish(r *run, err error) {
 	var unsent *UnsentError
 	if errors.As(err, &unsent) {
-		a.ledger.Unsent(r.key)
+		a.ledger.MarkUnsent(r.key)
 		a.refuseRun(r, core.ReasonUpstreamLost, 0)
 		return
 	}
 	a.ledger.Finish(r.key)
-	var given *givenUpError
-	if errors.As(err, &given) {
+	var abandoned *abandonedError
+	if errors.As(err, &abandoned) {
 		return
 	}
 	if err != nil {
-		a.log.Warn("upstream lost", "request", r.dispatch.Request, "error", err)
+		a.log.Warn("upstream lost before the answer was complete", "request", r.dispatch.Request, "error", err)
 		r.append(lostPart(), a.sessions, a.clock.Now())
 	}
 }
 
-// givenUpError ends the reading of an answer that nobody wants any more.
-type givenUpError struct{}
+// abandonedError stops reading an answer that no longer has a reader.
+type abandonedError struct{}
 
-// Error says that the attempt was given up.
-func (*givenUpError) Error() string {
-	return "attempt was given up"
+// Error states that the attempt was abandoned.
+func (*abandonedError) Error() string {
+	return "attempt abandoned"
 }
 
 func (a *Agent) expireQueue() {
-	a.sched.Lock()
-	gone := a.queue.Expire(a.clock.Now())
-	a.sched.Unlock()
-	a.shed(gone, core.ReasonDeadline)
+	a.schedMu.Lock()
+	expired := a.queue.Expire(a.clock.Now())
+	a.schedMu.Unlock()
+	a.shed(expired, core.ReasonDeadline)
 }
 
-// abandon gives up idempotent attempts that their entry has closed, or whose entry has been gone for long.
-func (a *Agent) abandon() {
+// abandonOrphans cancels attempts that their entry has closed and drops runs orphaned for longer than
+// orphanTimeout. Only idempotent requests are cancelled at the upstream.
+func (a *Agent) abandonOrphans() {
 	now := a.clock.Now()
 	a.runs.each(func(r *run) {
 		for _, k := range r.keys() {
-			if a.sessions.settled(k) {
+			if a.sessions.belowFloor(k) {
 				a.cancel(k)
 			}
 		}
-		if !r.unread(now, a.sessions) || r.dispatch.ClaimKey != "" {
+		if !r.orphaned(now, a.sessions) || r.dispatch.ClaimKey != "" {
 			return
 		}
 		a.runs.remove(append(r.keys(), r.key)...)
 		if r.dispatch.Idempotent && !r.ended() {
-			r.giveUp()
+			r.abandon()
 			a.upstream.Cancel(r.dispatch.Request)
 		}
 	})
 }
 
-// capacity is what the upstream can take now; the caller holds sched.
+// capacity returns the upstream's current capacity. The caller holds schedMu.
 func (a *Agent) capacity() queue.Capacity {
 	return queue.Capacity{
 		Running:   a.running,
@@ -139,7 +140,7 @@
 	}
 }
 
-// backlogTime is how long the queue takes to drain; the caller holds sched.
+// backlogTime estimates how long the queue takes to drain. The caller holds schedMu.
 func (a *Agent) backlogTime() time.Duration {
 	drain := a.limiter.DrainRate()
 	if drain <= 0 {
--- a/agent/serve.go
+++ b/agent/serve.go
@@ -30,17 +30,18 @@
 	return app
 }
 
-// serve reads one entry's link until it ends.
+// serve receives frames from one peer until its link closes.
 func (a *Agent) serve(l *wire.Link) {
-	// A link that only exchanges the configuration must not take the answers that belong to the entry's working link.
+	// An exchange link only carries configuration. Registering it would replace the entry's working
+	// link, and answers would be sent on the wrong one.
 	if l.Peer.Role != wire.RoleExchange {
 		a.sessions.add(l)
 		defer a.sessions.remove(l)
 	}
 	a.log.Debug("link opened", "entry", l.Peer.ID)
-	defer a.transits.forget(l)
+	defer a.transits.remove(l)
 	err := l.Receive(func(f *proto.Frame) { a.receive(l, f) })
-	a.log.Debug("link ended", "entry", l.Peer.ID, "error", err)
+	a.log.Debug("link closed", "entry", l.Peer.ID, "error", err)
 }
 
 func (a *Agent) receive(l *wire.Link, f *proto.Frame) {
@@ -52,7 +53,7 @@
 	}
 	switch {
 	case f.Dispatch != nil:
-		a.age(l, f.Dispatch)
+		a.deductTransit(l, f.Dispatch)
 		a.dispatch(key(f.Dispatch.N), f.Dispatch)
 	case f.Cancel != nil:
 		a.cancel(key(f.Cancel.N))
@@ -63,43 +64,43 @@
 	case f.Heartbeat != nil:
 		a.heartbeat(l, f.Heartbeat)
 	case f.Drain != nil:
-		a.leave("order of " + f.Drain.Who)
+		a.leave("order of " + f.Drain.RequestedBy)
 	case f.Order != nil:
-		a.rank.order(l, f.Order)
+		a.rank.handleOrder(l, f.Order)
 	case f.Config != nil:
-		a.takeConfig(f.Config)
-	case f.ConfigAsk != nil:
-		config.SendUpdate(a.config, l, f.ConfigAsk)
+		a.applyConfig(f.Config)
+	case f.ConfigRequest != nil:
+		config.SendUpdate(a.config, l, f.ConfigRequest)
 	}
 }
 
 func (a *Agent) heartbeat(l *wire.Link, h *proto.Heartbeat) {
-	a.transits.took(l, h.Sent, a.clock.Now())
-	a.ledger.Settle(sessionOf(l), h.Floor)
-	a.sessions.settle(sessionOf(l), h.Floor)
-	if h.Heard {
-		a.sessions.hear(sessionOf(l))
+	a.transits.delay(l, h.Sent, a.clock.Now())
+	a.ledger.RaiseFloor(sessionOf(l), h.Floor)
+	a.sessions.raiseFloor(sessionOf(l), h.Floor)
+	if h.LeavingAck {
+		a.sessions.ackLeaving(sessionOf(l))
 	}
 	if h.Leaving {
 		a.leave("instance list")
 	}
-	if h.Revision > a.config.Document().Revision && a.mayAsk() {
-		_ = l.Send(&proto.Frame{ConfigAsk: &proto.ConfigAsk{Have: a.config.Document().Revision}})
+	if h.Revision > a.config.Document().Revision && a.allowConfigRequest() {
+		_ = l.Send(&proto.Frame{ConfigRequest: &proto.ConfigRequest{SinceRevision: a.config.Document().Revision}})
 	}
 	r := a.report()
-	if h.First {
+	if h.WantRank {
 		r.Group, r.Rank, r.Ranks = a.cfg.Upstream.Group, a.cfg.Upstream.Rank, a.cfg.Upstream.Ranks
 	}
 	_ = l.Send(&proto.Frame{Report: r})
 }
 
 func (a *Agent) report() *proto.Report {
-	a.sched.Lock()
-	defer a.sched.Unlock()
+	a.schedMu.Lock()
+	defer a.schedMu.Unlock()
 	return &proto.Report{
-		Running: a.running,
-		Limit:   a.limiter.Limit(),
-		Drain:   a.limiter.DrainRate(),
+		Running:   a.running,
+		Limit:     a.limiter.Limit(),
+		DrainRate: a.limiter.DrainRate(),
 		Queued: lo.Map(a.queue.Load(), func(c queue.ClassLoad, _ int) proto.ClassLoad {
 			return proto.ClassLoad{
 				Class: c.Class,
--- a/agent/session.go
+++ b/agent/session.go
@@ -9,21 +9,21 @@
 	"geraniumpass/wire"
 )
 
-// sessions knows the newest link of each entry incarnation.
+// sessions holds the newest link and the state of each entry session.
 type sessions struct {
 	mu    sync.RWMutex
 	links map[ledger.Session]*wire.Link
-	// floors holds the lowest attempt number that each session still has open.
+	// floors holds the lowest attempt number still open in each session.
 	floors map[ledger.Session]uint64
-	// heard holds the sessions whose entries know that the agent leaves.
-	heard map[ledger.Session]bool
+	// leavingAcked holds the sessions whose entries have acknowledged that the agent leaves.
+	leavingAcked map[ledger.Session]bool
 }
 
 func newSessions() *sessions {
 	return &sessions{
-		links:  make(map[ledger.Session]*wire.Link),
-		floors: make(map[ledger.Session]uint64),
-		heard:  make(map[ledger.Session]bool),
+		links:        make(map[ledger.Session]*wire.Link),
+		floors:       make(map[ledger.Session]uint64),
+		leavingAcked: make(map[ledger.Session]bool),
 	}
 }
 
@@ -46,42 +46,44 @@
 	if s.links[sessionOf(l)] == l {
 		delete(s.links, sessionOf(l))
 		delete(s.floors, sessionOf(l))
-		delete(s.heard, sessionOf(l))
+		delete(s.leavingAcked, sessionOf(l))
 	}
 }
 
-func (s *sessions) settle(of ledger.Session, floor uint64) {
+func (s *sessions) raiseFloor(session ledger.Session, floor uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.floors[of] = max(s.floors[of], floor)
+	s.floors[session] = max(s.floors[session], floor)
 }
 
-func (s *sessions) hear(of ledger.Session) {
+func (s *sessions) ackLeaving(session ledger.Session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.heard[of] = true
+	s.leavingAcked[session] = true
 }
 
-// unheard returns true while a linked entry may still send work as to an agent that stays.
-func (s *sessions) unheard() bool {
+// awaitingLeavingAck reports whether a linked entry may still dispatch to the agent because it has
+// not acknowledged that the agent leaves.
+func (s *sessions) awaitingLeavingAck() bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
-	for of := range s.links {
-		if !s.heard[of] {
+	for session := range s.links {
+		if !s.leavingAcked[session] {
 			return true
 		}
 	}
 	return false
 }
 
-// settled returns true when the entry has closed an attempt, which it may have done while its link was down.
-func (s *sessions) settled(k ledger.Key) bool {
+// belowFloor reports whether the entry has closed the attempt, possibly while its link was down.
+func (s *sessions) belowFloor(k ledger.Key) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	return k.N < s.floors[k.Session]
 }
 
-// send hands a frame to the session's link; without one it is dropped, and resuming brings it later.
+// send sends a frame on the session's link. Without a link the frame is dropped; the entry recovers
+// it with a resume.
 func (s *sessions) send(to ledger.Session, f *proto.Frame) {
 	s.mu.RLock()
 	l := s.links[to]
--- a/agent/stall.go
+++ b/agent/stall.go
@@ -3,52 +3,54 @@
 import "time"
 
 const (
-	// firstPatience and nextPatience are how long a stream may go without its first and its next part.
-	firstPatience = 10 * time.Second
-	nextPatience  = 4 * time.Second
+	// firstPartTimeout and nextPartTimeout bound the wait for a stream's first part and for each
+	// later part.
+	firstPartTimeout = 10 * time.Second
+	nextPartTimeout  = 4 * time.Second
 )
 
-// loseStalled ends the streams on which the upstream has stopped, so that they go on elsewhere, and returns how many
-// attempts still wait for it.
-func (a *Agent) loseStalled() int64 {
+// failStalled fails streams on which the upstream has stalled, so that their entries can retry
+// elsewhere, and returns the number of attempts still blocked on the upstream.
+func (a *Agent) failStalled() int64 {
 	now := a.clock.Now()
 	a.runs.each(func(r *run) {
-		if !r.stalls(now) {
+		if !r.markStalled(now) {
 			return
 		}
-		a.stuck.Add(1)
-		a.log.Warn("upstream has stopped in a stream", "request", r.dispatch.Request)
+		a.stalledAttempts.Add(1)
+		a.log.Warn("stream stalled: upstream sent no part within its timeout", "request", r.dispatch.Request)
 		r.append(lostPart(), a.sessions, now)
-		r.giveUp()
+		r.abandon()
 		a.upstream.Cancel(r.dispatch.Request)
 	})
-	return a.stuck.Load()
+	return a.stalledAttempts.Load()
 }
 
-// stalls returns true once, when a stream that may be repeated has had no part for longer than the patience.
-func (r *run) stalls(now time.Time) bool {
+// markStalled reports, once per run, whether an idempotent stream has had no part within its
+// timeout.
+func (r *run) markStalled(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.dispatch.Stream || !r.dispatch.Idempotent || r.stuck || r.startedAt.IsZero() || r.abandoned || r.buffer.Ended() || r.full() {
+	if !r.dispatch.Stream || !r.dispatch.Idempotent || r.stalled || r.startedAt.IsZero() || r.abandoned || r.buffer.Ended() || r.full() {
 		return false
 	}
-	since, patience := r.startedAt, firstPatience
+	since, timeout := r.startedAt, firstPartTimeout
 	if r.sent > 0 {
-		since, patience = r.lastPart, nextPatience
+		since, timeout = r.lastPart, nextPartTimeout
 	}
-	r.stuck = now.Sub(since) > patience
-	return r.stuck
+	r.stalled = now.Sub(since) > timeout
+	return r.stalled
 }
 
-// start notes when the run was put to the upstream.
-func (r *run) start(now time.Time) {
+// markStarted records when the run was sent to the upstream.
+func (r *run) markStarted(now time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.startedAt = now
 }
 
-func (r *run) wasStuck() bool {
+func (r *run) isStalled() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.stuck
+	return r.stalled
 }
--- a/agent/testlink_test.go
+++ b/agent/testlink_test.go
@@ -8,7 +8,7 @@
 	"geraniumpass/wire"
 )
 
-// testLink dials the agent and collects what it sends.
+// testLink dials the agent and collects the frames it sends.
 type testLink struct {
 	link   *wire.Link
 	frames chan *proto.Frame
@@ -21,7 +21,7 @@
 		Role:        role,
 		Incarnation: incarnation,
 	}
-	end := time.Now().Add(testLimit)
+	end := time.Now().Add(testTimeout)
 	for {
 		l, err := wire.Dial(a.cfg.Listen, self, []byte(testKey))
 		if err == nil {
@@ -49,15 +49,15 @@
 // next returns the next frame that is not a report.
 func (l *testLink) next(t *testing.T) *proto.Frame {
 	t.Helper()
-	limit := time.After(testLimit)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case f := <-l.frames:
 			if f.Report == nil {
 				return f
 			}
-		case <-limit:
-			t.Fatal("no frame came")
+		case <-timeout:
+			t.Fatal("no frame received before the timeout")
 		}
 	}
 }
@@ -73,15 +73,15 @@
 func (l *testLink) sync(t *testing.T) {
 	t.Helper()
 	l.send(t, &proto.Frame{Heartbeat: &proto.Heartbeat{}})
-	limit := time.After(testLimit)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case f := <-l.frames:
 			if f.Report != nil {
 				return
 			}
-		case <-limit:
-			t.Fatal("no report came")
+		case <-timeout:
+			t.Fatal("no report received before the timeout")
 		}
 	}
 }
@@ -89,15 +89,15 @@
 // awaitLeaving waits for the report that the agent leaves.
 func (l *testLink) awaitLeaving(t *testing.T) {
 	t.Helper()
-	limit := time.After(testLimit)
+	timeout := time.After(testTimeout)
 	for {
 		select {
 		case f := <-l.frames:
 			if f.Report != nil && f.Report.Leaving {
 				return
 			}
-		case <-limit:
-			t.Fatal("no report of leaving came")
+		case <-timeout:
+			t.Fatal("no leaving report received before the timeout")
 		}
 	}
 }
--- a/agent/transit.go
+++ b/agent/transit.go
@@ -7,42 +7,45 @@
 	"geraniumpass/wire"
 )
 
-// transits learns how long messages were on their way. The steady clocks of two processes don't agree, but they go equally fast: the message with
-// the least difference between them was hardly on its way, and what another has more it has waited, in a link that was cut or beside a
-// process that stood still.
-type transits struct {
-	mu    sync.Mutex
-	begun time.Time
-	least map[*wire.Link]time.Duration
+// transitTracker estimates how long messages were delayed in transit. The monotonic clocks of two
+// processes have different origins but run at the same rate, so the difference between receive time
+// and send time is constant apart from the transit time. The smallest difference seen on a link
+// marks an undelayed message; any excess is delay, for instance in a partitioned link or next to a
+// paused process.
+type transitTracker struct {
+	mu         sync.Mutex
+	start      time.Time
+	minOffsets map[*wire.Link]time.Duration
 }
 
-func newTransits(begun time.Time) *transits {
-	return &transits{
-		begun: begun,
-		least: make(map[*wire.Link]time.Duration),
+func newTransitTracker(begun time.Time) *transitTracker {
+	return &transitTracker{
+		start:      begun,
+		minOffsets: make(map[*wire.Link]time.Duration),
 	}
 }
 
-// took returns how much longer than the quickest one of its link a message was on its way that was sent and received at these times; sent is
-// zero for a sender that doesn't say.
-func (t *transits) took(l *wire.Link, sent time.Duration, received time.Time) time.Duration {
+// delay returns how much longer a message was in transit than the fastest one on its link. The send
+// time is measured on the sender's clock; it is zero when the sender does not report it, and delay
+// then returns zero.
+func (t *transitTracker) delay(l *wire.Link, sent time.Duration, received time.Time) time.Duration {
 	if sent == 0 {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	between := received.Sub(t.begun) - sent
-	least, known := t.least[l]
-	if !known || between < least {
-		least = between
-		t.least[l] = least
+	offset := received.Sub(t.start) - sent
+	minOffset, known := t.minOffsets[l]
+	if !known || offset < minOffset {
+		minOffset = offset
+		t.minOffsets[l] = minOffset
 	}
-	return between - least
+	return offset - minOffset
 }
 
-// forget drops what is known of a link that has ended.
-func (t *transits) forget(l *wire.Link) {
+// remove discards the state of a closed link.
+func (t *transitTracker) remove(l *wire.Link) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	delete(t.least, l)
+	delete(t.minOffsets, l)
 }
--- a/agent/transit_test.go
+++ b/agent/transit_test.go
@@ -9,18 +9,19 @@
 	"geraniumpass/wire"
 )
 
-// TestDispatchThatWaitedInItsLinkIsOld guards against work for callers who have gone: a dispatch that waited in the link of a machine that stood
-// still got its whole time anew, and ran after its caller had been told that its end is unknown.
-func TestDispatchThatWaitedInItsLinkIsOld(t *testing.T) {
-	// The clock of the sender began at another moment than the agent's.
-	const began = time.Hour
+// TestTransitDelayReducesRemainingTime guards against running work for callers that are gone: a
+// dispatch delayed in the link of a paused machine used to get its full remaining time, and ran
+// after its caller had been told that the outcome is unknown.
+func TestTransitDelayReducesRemainingTime(t *testing.T) {
+	// The sender's clock has a different origin than the agent's.
+	const clockOffset = time.Hour
 	tests := []struct {
 		name   string
 		waited time.Duration
 		left   time.Duration
-		// says is false for a sender that doesn't say when it sent.
-		says   bool
-		refuse bool
+		// hasSent is false for a sender that does not report its send time.
+		hasSent bool
+		refuse  bool
 	}{
 		{"just sent", 0, time.Second, true, false},
 		{"waited for less than what is left", 4 * time.Second, time.Minute, true, false},
@@ -33,12 +34,12 @@
 			a, _ := startAgent(t, up)
 			l := dial(t, a, wire.RoleEntry, 7)
 			clock := time.Now()
-			sent := func() time.Duration { return began + time.Since(clock) }
+			sent := func() time.Duration { return clockOffset + time.Since(clock) }
 			l.send(t, &proto.Frame{Heartbeat: &proto.Heartbeat{Sent: sent()}})
 			l.sync(t)
 			f := dispatch(a, 1, "")
 			f.Dispatch.Remaining, f.Dispatch.TargetLeft = tt.left, tt.left
-			if tt.says {
+			if tt.hasSent {
 				f.Dispatch.Sent = sent() - tt.waited
 			}
 			l.send(t, f)
@@ -55,10 +56,11 @@
 	}
 }
 
-// TestTransitsGoByTheQuickestMessage guards against a link that is always slow being taken for one that held its messages up.
-func TestTransitsGoByTheQuickestMessage(t *testing.T) {
+// TestTransitDelayIsRelativeToFastestMessage guards against mistaking a link with constant latency
+// for one that delayed its messages.
+func TestTransitDelayIsRelativeToFastestMessage(t *testing.T) {
 	begun := time.Unix(1_000, 0)
-	tr := newTransits(begun)
+	tr := newTransitTracker(begun)
 	l := &wire.Link{}
 	at := func(d time.Duration) time.Time { return begun.Add(d) }
 	tests := []struct {
@@ -74,7 +76,7 @@
 		{"as slow as the first", time.Hour + 7*time.Second, 7050 * time.Millisecond, 40 * time.Millisecond},
 	}
 	for _, tt := range tests {
-		if got := tr.took(l, tt.sent, at(tt.received)); got != tt.want {
+		if got := tr.delay(l, tt.sent, at(tt.received)); got != tt.want {
 			t.Errorf("%s: %v, want %v", tt.name, got, tt.want)
 		}
 	}
--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -18,59 +18,62 @@
 )
 
 const (
-	chunkBytes    = 64 << 10
-	upstreamConns = 1024
-	idleConn      = 2 * time.Second
-	controlTime   = time.Second
+	chunkBytes       = 64 << 10
+	maxUpstreamConns = 1024
+	idleConnTimeout  = 2 * time.Second
+	controlTimeout   = time.Second
 )
 
-// Upstream is what the agent needs of the process that it stands before.
+// Upstream is the interface through which the agent calls the process that it fronts.
 type Upstream interface {
-	// Do puts a request to the upstream and calls part for each piece of its answer; it fails with an *UnsentError or a *LostError.
+	// Do sends a request to the upstream and calls part for each piece of the answer. It fails with
+	// an *UnsentError, a *LostError or the error of part.
 	Do(d *proto.Dispatch, deadline time.Time, part func(*proto.Answer) error) error
-	// Cancel asks the upstream to give a request up.
+	// Cancel asks the upstream to cancel a request.
 	Cancel(request string)
-	// Leaving asks the upstream whether it is about to leave.
+	// Leaving reports whether the upstream is about to shut down.
 	Leaving() (bool, error)
-	// Order gives a rank an order for its expert map, in the engine's form, and returns its reply.
+	// Order sends an expert-map order to the engine in the engine's JSON format and returns the
+	// reply.
 	Order(body []byte) ([]byte, error)
 }
 
-// UnsentError says that nothing of a request reached the upstream.
+// UnsentError reports that no part of a request reached the upstream.
 type UnsentError struct {
 	Cause error
 }
 
-// Error returns the cause.
+// Error describes the failure and its cause.
 func (e *UnsentError) Error() string {
 	return "upstream not reached: " + e.Cause.Error()
 }
 
-// LostError says that the upstream was lost before its answer was whole.
+// LostError reports that the upstream was lost before its answer was complete.
 type LostError struct {
 	Cause error
 }
 
-// Error returns the cause.
+// Error describes the failure and its cause.
 func (e *LostError) Error() string {
 	return "upstream lost: " + e.Cause.Error()
 }
 
-// HTTPUpstream speaks HTTP to an upstream on one address.
+// HTTPUpstream calls an upstream over HTTP at one address.
 type HTTPUpstream struct {
 	address string
 	client  *fasthttp.Client
 }
 
-// NewHTTPUpstream returns an upstream at address, an IP and port.
+// NewHTTPUpstream returns an upstream at address, an IP address and port.
 func NewHTTPUpstream(address string) *HTTPUpstream {
 	return &HTTPUpstream{
 		address: address,
 		client: &fasthttp.Client{
-			MaxConnsPerHost:     upstreamConns,
-			MaxIdleConnDuration: idleConn,
+			MaxConnsPerHost:     maxUpstreamConns,
+			MaxIdleConnDuration: idleConnTimeout,
 			StreamResponseBody:  true,
-			// A request is put to the upstream once: whether it may be repeated is not the client's to decide.
+			// The HTTP client must not retry: only the entry knows whether a request may be
+			// repeated.
 			RetryIfErr:                    func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 			NoDefaultUserAgentHeader:      true,
 			DisablePathNormalizing:        true,
@@ -84,16 +87,16 @@
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	u.fill(req, d)
+	u.buildRequest(req, d)
 	if err := u.client.DoDeadline(req, resp, deadline); err != nil {
 		return classify(err)
 	}
 	defer func() { _ = resp.CloseBodyStream() }()
-	return handOn(resp, part)
+	return forwardResponse(resp, part)
 }
 
-// handOn calls part for each piece of an answer.
-func handOn(resp *fasthttp.Response, part func(*proto.Answer) error) error {
+// forwardResponse calls part for each piece of an answer.
+func forwardResponse(resp *fasthttp.Response, part func(*proto.Answer) error) error {
 	head := &proto.Answer{
 		Status:  resp.StatusCode(),
 		Headers: proto.Headers(resp.Header.All(), hopHeaders),
@@ -112,7 +115,7 @@
 	return readChunks(body, resp.Header.ContentLength(), part)
 }
 
-func (u *HTTPUpstream) fill(req *fasthttp.Request, d *proto.Dispatch) {
+func (u *HTTPUpstream) buildRequest(req *fasthttp.Request, d *proto.Dispatch) {
 	req.SetRequestURI("http://" + u.address + d.Path)
 	req.Header.SetMethod(d.Method)
 	for _, h := range d.Headers {
@@ -153,7 +156,7 @@
 	req.SetRequestURI("http://" + u.address + path)
 	req.Header.SetMethod(method)
 	req.SetBody(body)
-	if err := u.client.DoTimeout(req, resp, controlTime); err != nil {
+	if err := u.client.DoTimeout(req, resp, controlTimeout); err != nil {
 		return nil, errs.Wrap(err)
 	}
 	defer func() { _ = resp.CloseBodyStream() }()
@@ -171,7 +174,7 @@
 	return &LostError{Cause: err}
 }
 
-// hopHeaders are the fields that belong to one connection and are not passed on.
+// hopHeaders lists the hop-by-hop and per-connection headers, which are not forwarded.
 var hopHeaders = map[string]bool{
 	"connection":          true,
 	"keep-alive":          true,
@@ -186,7 +189,8 @@
 	"server":              true,
 }
 
-// readEvents hands on one server-sent event a part and ends whole only after the closing event.
+// readEvents forwards one server-sent event per part. The answer is complete only after the closing
+// [DONE] event.
 func readEvents(body io.Reader, part func(*proto.Answer) error) error {
 	r := bufio.NewReader(body)
 	var event []byte
@@ -214,12 +218,13 @@
 	}
 }
 
-// readChunks hands on a body in pieces; a body that breaks off or is shorter than its stated length is a lost upstream.
+// readChunks forwards a body in chunks. A body that is truncated or shorter than its Content-Length
+// gives a *LostError.
 func readChunks(body io.Reader, length int, part func(*proto.Answer) error) error {
 	total := 0
 	for {
 		chunk := make([]byte, chunkBytes)
-		n, err := fill(body, chunk)
+		n, err := readFull(body, chunk)
 		total += n
 		ended := errors.Is(err, io.EOF)
 		if err != nil && !ended {
@@ -241,9 +246,10 @@
 	}
 }
 
-// fill reads until chunk is full or the body's own error. io.ReadFull would tell the end within a chunk by the very error that a body
-// which breaks off gives.
-func fill(body io.Reader, chunk []byte) (int, error) {
+// readFull reads until chunk is full or body returns an error, and returns that error unchanged.
+// io.ReadFull would return io.ErrUnexpectedEOF for the end of the body within a chunk, which is
+// also the error of a truncated body.
+func readFull(body io.Reader, chunk []byte) (int, error) {
 	n := 0
 	for n < len(chunk) {
 		m, err := body.Read(chunk[n:])
@@ -255,7 +261,7 @@
 	return n, nil
 }
 
-// lostPart ends an attempt whose upstream was lost.
+// lostPart returns the last part of an attempt whose upstream was lost.
 func lostPart() *proto.Answer {
 	return &proto.Answer{
 		Last:   true,
--- a/agent/upstream_test.go
+++ b/agent/upstream_test.go
@@ -11,13 +11,14 @@
 	"geraniumpass/proto"
 )
 
-// TestCutAnswersAreNotWhole has an upstream break off in the middle of what it framed: the last part must not be handed on.
-func TestCutAnswersAreNotWhole(t *testing.T) {
+// TestTruncatedAnswersFail guards against forwarding a last part when the upstream closes the
+// connection before the framed end of its answer.
+func TestTruncatedAnswersFail(t *testing.T) {
 	long := strings.Repeat("x", chunkBytes+chunkBytes/2)
 	for _, tt := range []struct {
-		name  string
-		raw   string
-		whole bool
+		name     string
+		raw      string
+		complete bool
 	}{
 		{"chunked, whole", "Transfer-Encoding: chunked\r\n\r\n5\r\nwhole\r\n0\r\n\r\n", true},
 		{"chunked, cut within a chunk", "Transfer-Encoding: chunked\r\n\r\nff\r\nhalf", false},
@@ -41,14 +42,14 @@
 			if err != nil {
 				err = classify(err)
 			} else {
-				err = handOn(resp, func(p *proto.Answer) error {
+				err = forwardResponse(resp, func(p *proto.Answer) error {
 					last = last || p.Last
 					return nil
 				})
 			}
 			var lost *LostError
-			if last != tt.whole || errors.As(err, &lost) == tt.whole {
-				t.Fatalf("ended as whole: %v, error %v; want whole: %v", last, err, tt.whole)
+			if last != tt.complete || errors.As(err, &lost) == tt.complete {
+				t.Fatalf("complete: %v, error %v; want complete: %v", last, err, tt.complete)
 			}
 		})
 	}
--- a/agent/work.go
+++ b/agent/work.go
@@ -11,7 +11,7 @@
 	"geraniumpass/wire"
 )
 
-// leaveGrace is the time after which a leaving upstream must not be given anything new.
+// leaveGrace is how long after it starts to leave an upstream may still be given new work.
 const leaveGrace = 3 * time.Second
 
 func (a *Agent) dispatch(key ledger.Key, d *proto.Dispatch) {
@@ -19,16 +19,17 @@
 		a.refuse(key, d.ClaimKey, core.OutcomeNotRun, core.ReasonLeaving, 0)
 		return
 	}
-	// The run is findable before the ledger shows its claim, so that a repeat on another link never misses it.
+	// The run is registered before the ledger records its claim, so that a repeat on another link
+	// always finds it.
 	r := newRun(key, d, a.clock.Now())
 	fresh := a.runs.add(key, r)
 	v := a.ledger.Offer(ledger.Offer{
-		Key:         key,
-		Incarnation: d.Incarnation,
-		Idempotent:  d.Idempotent,
-		ClaimKey:    d.ClaimKey,
-		ClaimDigest: d.ClaimDigest,
-		ClaimFor:    d.ClaimFor,
+		Key:            key,
+		Incarnation:    d.Incarnation,
+		Idempotent:     d.Idempotent,
+		ClaimKey:       d.ClaimKey,
+		ClaimDigest:    d.ClaimDigest,
+		ClaimRetention: d.ClaimRetention,
 	})
 	if fresh && v.Action != ledger.ActionQueue {
 		a.runs.remove(key)
@@ -39,7 +40,8 @@
 	case ledger.ActionAttach:
 		a.attach(key, v.Holder)
 	case ledger.ActionQueue:
-		// A claim is looked up first even while leaving: what has run here is answered, only what is new is refused.
+		// Claims are checked even while leaving: repeats of work that ran here get its answer, and
+		// only new work is refused.
 		if a.leaving.Load() && a.ledger.Cancel(key) {
 			a.runs.remove(key)
 			a.refuse(key, d.ClaimKey, core.OutcomeNotRun, core.ReasonLeaving, 0)
@@ -54,10 +56,11 @@
 	}
 }
 
-// age takes the time that a dispatch was on its way from what remains for it: its entry counts from when it was sent, and tells its caller that
-// the request's end is unknown once that is over.
-func (a *Agent) age(l *wire.Link, d *proto.Dispatch) {
-	took := a.transits.took(l, d.Sent, a.clock.Now())
+// deductTransit subtracts the time a dispatch was delayed in transit from its remaining time. The
+// entry counts from the send time, and once that time is over it tells its caller that the outcome
+// is unknown.
+func (a *Agent) deductTransit(l *wire.Link, d *proto.Dispatch) {
+	took := a.transits.delay(l, d.Sent, a.clock.Now())
 	d.Remaining -= took
 	d.TargetLeft -= took
 }
@@ -77,12 +80,12 @@
 func (a *Agent) enqueue(r *run) {
 	now := r.queuedAt
 	d := r.dispatch
-	a.sched.Lock()
-	a.nextItem++
-	r.item = a.nextItem
-	a.waiting[r.item] = r
+	a.schedMu.Lock()
+	a.lastItemID++
+	r.itemID = a.lastItemID
+	a.waiting[r.itemID] = r
 	shed := a.queue.Push(now, queue.Item{
-		ID:            r.item,
+		ID:            r.itemID,
 		Class:         d.Class,
 		Account:       d.Account,
 		LatencyTarget: d.Within,
@@ -90,19 +93,19 @@
 		Expires:       r.expires,
 		Cost:          max(d.Cost, 1),
 	}, a.capacity())
-	a.sched.Unlock()
+	a.schedMu.Unlock()
 	a.shed(shed, core.ReasonTargetMissed)
 	a.schedule()
 }
 
-// shed refuses items that the queue gave up before they ran.
+// shed refuses items that the queue dropped before they ran.
 func (a *Agent) shed(items []queue.Item, reason core.Reason) {
 	for _, it := range items {
-		a.sched.Lock()
+		a.schedMu.Lock()
 		r := a.waiting[it.ID]
 		delete(a.waiting, it.ID)
 		wait := a.backlogTime()
-		a.sched.Unlock()
+		a.schedMu.Unlock()
 		if r != nil && a.ledger.Cancel(r.key) {
 			a.refuseRun(r, reason, wait)
 		}
@@ -112,11 +115,12 @@
 func (a *Agent) refuseRun(r *run, reason core.Reason, retryAfter time.Duration) {
 	keys := r.keys()
 	a.runs.remove(append(keys, r.key)...)
-	r.giveUp()
+	r.abandon()
 	for _, k := range keys {
 		outcome := core.OutcomeNotRun
 		if k != r.key {
-			// An attached attempt shares the fate of the holder's claim, which a later repeat may still run.
+			// The outcome of an attached attempt depends on the claim, which a later repeat may
+			// still run.
 			outcome = core.OutcomeUnknown
 		}
 		a.refuse(k, r.dispatch.ClaimKey, outcome, reason, retryAfter)
@@ -126,7 +130,7 @@
 func (a *Agent) refuse(key ledger.Key, claimKey string, outcome core.Outcome, reason core.Reason, retryAfter time.Duration) {
 	if outcome == core.OutcomeNotRun {
 		st, ok := a.ledger.State(key)
-		check.Assert(check.NotRunNeverRan, !ok || st != ledger.StateRunning && st != ledger.StateDone, "attempt %s is refused as not run in state %d", key, st)
+		check.Assert(check.NotRunNeverRan, !ok || st != ledger.StateRunning && st != ledger.StateDone, "attempt %s refused as not run in state %d", key, st)
 	}
 	a.sessions.send(key.Session, &proto.Frame{Refused: &proto.Refused{
 		N:           key.N,
@@ -141,9 +145,9 @@
 	r := a.runs.get(key)
 	if a.ledger.Cancel(key) {
 		if r != nil {
-			a.unqueue(r)
+			a.dequeue(r)
 			a.runs.remove(append(r.keys(), r.key)...)
-			r.giveUp()
+			r.abandon()
 		}
 		a.refuse(key, "", core.OutcomeNotRun, core.ReasonCancelled, 0)
 		return
@@ -158,18 +162,18 @@
 	if !last {
 		return
 	}
-	// What may not run twice is left to finish: a repeat with the same key is owed its answer.
+	// A non-idempotent run continues, because a repeat with the same key must get its answer.
 	if r.dispatch.Idempotent && !r.ended() {
-		r.giveUp()
+		r.abandon()
 		a.upstream.Cancel(r.dispatch.Request)
 	}
 }
 
-func (a *Agent) unqueue(r *run) {
-	a.sched.Lock()
-	defer a.sched.Unlock()
-	a.queue.Remove(r.item)
-	delete(a.waiting, r.item)
+func (a *Agent) dequeue(r *run) {
+	a.schedMu.Lock()
+	defer a.schedMu.Unlock()
+	a.queue.Remove(r.itemID)
+	delete(a.waiting, r.itemID)
 }
 
 func (a *Agent) resume(key ledger.Key, next uint32) {
@@ -181,7 +185,7 @@
 		a.refuse(key, "", core.OutcomeUnknown, core.ReasonUpstreamLost, 0)
 		return
 	}
-	// The dispatch itself was lost with the link; a tombstone makes sure that it stays so.
+	// The dispatch was lost with the link. The tombstone refuses it should it still arrive.
 	if a.ledger.Cancel(key) {
 		a.refuse(key, "", core.OutcomeNotRun, core.ReasonStaleDispatch, 0)
 	}
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -93,7 +93,7 @@
 			newest, behind := NewHolder(clockwork.NewFakeClock()), NewHolder(clockwork.NewFakeClock())
 			newest.Offer(docs[400])
 			behind.Offer(docs[tt.have])
-			SendUpdate(newest, holderSender{h: behind}, &proto.ConfigAsk{Have: uint64(tt.have)})
+			SendUpdate(newest, holderSender{h: behind}, &proto.ConfigRequest{SinceRevision: uint64(tt.have)})
 			if got := behind.Document(); got.Revision != 400 || got.Classes[0].Target.Within != docs[400].Classes[0].Target.Within {
 				t.Errorf("holds revision %d with %+v", got.Revision, got.Classes)
 			}
--- a/config/exchange.go
+++ b/config/exchange.go
@@ -15,14 +15,14 @@
 
 // SendUpdate sends the peer the records after its revision, or the complete document if those
 // records have been trimmed. It sends nothing to a peer that is up to date.
-func SendUpdate(h *Holder, to Sender, ask *proto.ConfigAsk) {
+func SendUpdate(h *Holder, to Sender, ask *proto.ConfigRequest) {
 	doc := h.Document()
-	if ask.Have >= doc.Revision {
+	if ask.SinceRevision >= doc.Revision {
 		return
 	}
 	out := &proto.Config{Revision: doc.Revision}
 	var err error
-	if records, ok := doc.Since(ask.Have); ok {
+	if records, ok := doc.Since(ask.SinceRevision); ok {
 		out.Records, err = json.Marshal(records)
 	} else {
 		out.Document, err = json.Marshal(doc)
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -242,7 +242,7 @@
 	d.Incarnation = held.Incarnation
 	d.ClaimKey = key
 	d.ClaimDigest = held.Digest
-	d.ClaimFor = e.claims.agentRetention()
+	d.ClaimRetention = e.claims.agentRetention()
 	res := e.try(r, p, d, out)
 	if res.outcome == attemptNotRun && res.reason == core.ReasonNoUpstream {
 		// The link went down before the dispatch, so the state of the claim at its owner is
--- a/entry/grouplead.go
+++ b/entry/grouplead.go
@@ -158,7 +158,7 @@
 			continue
 		}
 		before := g.leader.Phase
-		if rank == 0 && g.leader.Peeked(r) {
+		if rank == 0 && g.leader.HandlePoll(r) {
 			g.recordState()
 			return
 		}
@@ -216,7 +216,7 @@
 	}
 	if now.Sub(g.peekedAt) > peekInterval {
 		g.peekedAt = now
-		g.sendTo(0, g.leader.Peek())
+		g.sendTo(0, g.leader.PollOrder())
 	}
 	if g.decided || now.Sub(g.leaseRenewedAt) > leaderLeaseTTL {
 		return
--- a/entry/heartbeat.go
+++ b/entry/heartbeat.go
@@ -44,11 +44,11 @@
 		floor = min(floor, n)
 	}
 	return &proto.Heartbeat{
-		Floor:    floor,
-		Revision: p.e.config.Document().Revision,
-		Leaving:  p.listedLeaving,
-		Heard:    p.report != nil && p.report.Leaving,
-		Sent:     p.e.sinceStart(),
+		Floor:      floor,
+		Revision:   p.e.config.Document().Revision,
+		Leaving:    p.listedLeaving,
+		LeavingAck: p.report != nil && p.report.Leaving,
+		Sent:       p.e.sinceStart(),
 	}
 }
 
@@ -60,7 +60,7 @@
 	if p.link == nil {
 		silence = p.e.clock.Since(p.downSince) + p.e.peers.staleAfter() - retryAfterDown
 	} else {
-		silence = p.link.Silence()
+		silence = p.link.SinceLastReceive()
 	}
 	open := p.openAttempts()
 	p.mu.Unlock()
@@ -81,6 +81,6 @@
 	p.drainSent = p.drainSent || wanted
 	p.mu.Unlock()
 	if wanted {
-		_ = l.Send(&proto.Frame{Drain: &proto.Drain{Who: "operator"}})
+		_ = l.Send(&proto.Frame{Drain: &proto.Drain{RequestedBy: "operator"}})
 	}
 }
--- a/entry/mates.go
+++ b/entry/mates.go
@@ -134,8 +134,8 @@
 		_ = l.Send(&proto.Frame{Report: &proto.Report{Revision: m.e.config.Document().Revision}})
 	case f.Report != nil:
 		m.requestIfBehind(l, f.Report.Revision)
-	case f.ConfigAsk != nil:
-		config.SendUpdate(m.e.config, l, f.ConfigAsk)
+	case f.ConfigRequest != nil:
+		config.SendUpdate(m.e.config, l, f.ConfigRequest)
 	case f.Config != nil:
 		if err := config.ApplyUpdate(m.e.config, f.Config); err != nil {
 			m.e.log.Warn("failed to apply configuration", "peer", l.Peer.ID, "error", err)
@@ -148,7 +148,7 @@
 	m.heldRevisions[l.Peer.ID] = revision
 	m.mu.Unlock()
 	if have := m.e.config.Document().Revision; revision > have {
-		_ = l.Send(&proto.Frame{ConfigAsk: &proto.ConfigAsk{Have: have}})
+		_ = l.Send(&proto.Frame{ConfigRequest: &proto.ConfigRequest{SinceRevision: have}})
 	}
 }
 
--- a/entry/peerframe.go
+++ b/entry/peerframe.go
@@ -23,9 +23,9 @@
 		if err := config.ApplyUpdate(p.e.config, f.Config); err != nil {
 			p.e.log.Warn("failed to apply configuration", "agent", p.id, "error", err)
 		}
-	case f.ConfigAsk != nil:
+	case f.ConfigRequest != nil:
 		if l := p.currentLink(); l != nil {
-			config.SendUpdate(p.e.config, l, f.ConfigAsk)
+			config.SendUpdate(p.e.config, l, f.ConfigRequest)
 		}
 	}
 }
@@ -56,6 +56,6 @@
 		}
 	}
 	if have := p.e.config.Document().Revision; r.Revision > have && l != nil {
-		_ = l.Send(&proto.Frame{ConfigAsk: &proto.ConfigAsk{Have: have}})
+		_ = l.Send(&proto.Frame{ConfigRequest: &proto.ConfigRequest{SinceRevision: have}})
 	}
 }
--- a/entry/peerlink.go
+++ b/entry/peerlink.go
@@ -59,7 +59,7 @@
 	p.mu.Unlock()
 	p.e.log.Debug("agent link up", "agent", p.id, "resumed", len(open))
 	first := p.heartbeat()
-	first.First = true
+	first.WantRank = true
 	_ = l.Send(&proto.Frame{Heartbeat: first})
 	for _, a := range open {
 		if old != l.Peer.Incarnation {
--- a/entry/peeruse.go
+++ b/entry/peeruse.go
@@ -11,7 +11,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.link != nil && p.report != nil && p.report.Healthy && !p.report.Leaving &&
-		!p.listedLeaving && !drained[p.id] && p.link.Silence() < p.e.peers.staleAfter()
+		!p.listedLeaving && !drained[p.id] && p.link.SinceLastReceive() < p.e.peers.staleAfter()
 }
 
 func (p *peer) candidate(targets map[string]time.Duration) route.Candidate {
@@ -23,7 +23,7 @@
 		Running:    p.report.RunningCost,
 		InUse:      p.report.Running,
 		Limit:      p.report.Limit,
-		DrainRate:  p.report.Drain,
+		DrainRate:  p.report.DrainRate,
 		Unreported: p.ownCost - p.ownCostAtReport,
 		InFlight:   p.ownCost,
 		ReportAge:  p.e.clock.Since(p.reportAt),
--- a/entry/status.go
+++ b/entry/status.go
@@ -125,7 +125,7 @@
 	s.Healthy = p.report.Healthy
 	s.Running = p.report.Running
 	s.Limit = p.report.Limit
-	s.Drain = p.report.Drain
+	s.Drain = p.report.DrainRate
 	s.Revision = p.report.Revision
 	for _, q := range p.report.Queued {
 		s.Queued += q.Cost
--- a/epmap/engine_test.go
+++ b/epmap/engine_test.go
@@ -2,15 +2,15 @@
 
 import "geraniumpass/proto"
 
-// modelEngine is the least engine that can hold a cap and a grant; it doesn't check fencing numbers.
+// modelEngine is a minimal engine with caps and grants. It does not check fencing tokens.
 type modelEngine struct {
-	version  uint64
-	step     uint64
-	capped   bool
-	capMap   uint64
-	capStep  uint64
-	granted  bool
-	ignoring bool
+	version    uint64
+	step       uint64
+	capped     bool
+	capMap     uint64
+	capStep    uint64
+	granted    bool
+	ignoresCap bool
 }
 
 func (e *modelEngine) Apply(o *proto.Order) (bool, proto.RankState, error) {
@@ -42,7 +42,7 @@
 		if e.step > o.Step || e.granted || e.version >= o.Version {
 			return false
 		}
-		if !e.ignoring {
+		if !e.ignoresCap {
 			e.capped, e.capMap, e.capStep = true, o.Version, o.Step
 		}
 		return true
@@ -55,7 +55,7 @@
 		if e.version == o.Version {
 			return true
 		}
-		if e.ignoring {
+		if e.ignoresCap {
 			e.capped, e.capMap, e.capStep = true, o.Version, max(o.Step, e.step)
 		}
 		if !e.capped || e.capMap != o.Version {
@@ -67,8 +67,8 @@
 	return false
 }
 
-// begin takes the next step and returns its map, or false while the rank must wait.
-func (e *modelEngine) begin() (uint64, bool) {
+// beginStep starts the next step and returns its map, or false while the rank is capped.
+func (e *modelEngine) beginStep() (uint64, bool) {
 	if e.capped && e.step >= e.capStep {
 		if !e.granted {
 			return 0, false
--- a/epmap/example_test.go
+++ b/epmap/example_test.go
@@ -7,7 +7,7 @@
 	"geraniumpass/proto"
 )
 
-// engine is a rank that follows every order at once.
+// engine is a rank that executes every order immediately.
 type engine struct {
 	state proto.RankState
 }
--- a/epmap/explore_test.go
+++ b/epmap/explore_test.go
@@ -12,33 +12,35 @@
 	"geraniumpass/check"
 )
 
-// explore visits every reachable state and returns how many there are and whether one has two maps in a step.
+// explore visits the reachable states, at most limit of them. It returns the number visited and
+// whether one of them has a step under two maps.
 func explore(b bounds, mut mutation, limit int) (states int, found bool, trace string) {
 	start := newWorld(b)
 	seen := map[string]struct{}{start.key(): {}}
-	todo := []*world{start}
-	for len(todo) > 0 {
-		w := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		if s, bad := w.twoMaps(); bad {
+	stack := []*world{start}
+	for len(stack) > 0 {
+		w := stack[len(stack)-1]
+		stack = stack[:len(stack)-1]
+		if s, bad := w.mapConflict(); bad {
 			return len(seen), true, fmt.Sprintf("step %d: %v; engines %+v", s, w.used[s], w.engines)
 		}
 		if len(seen) >= limit {
 			return len(seen), false, "limit"
 		}
-		w.nexts(b, mut, func(n *world) {
+		w.successors(b, mut, func(n *world) {
 			n.prune()
 			k := n.key()
 			if _, ok := seen[k]; !ok {
 				seen[k] = struct{}{}
-				todo = append(todo, n)
+				stack = append(stack, n)
 			}
 		})
 	}
 	return len(seen), false, ""
 }
 
-// exploreLimit bounds the states visited for one set of bounds; GERANIUMPASS_EXPLORE raises it (make explore).
+// exploreLimit bounds the states visited per set of bounds; make explore raises it through
+// GERANIUMPASS_EXPLORE.
 var exploreLimit = limit()
 
 func limit() int {
@@ -62,8 +64,8 @@
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
 			t.Parallel()
-			states, found, trace := explore(tt.bounds, asShipped, exploreLimit)
-			t.Logf("%d states, %s", states, lo.Ternary(trace == "limit", "as many as the limit", "all that can be reached"))
+			states, found, trace := explore(tt.bounds, noMutation, exploreLimit)
+			t.Logf("%d states, %s", states, lo.Ternary(trace == "limit", "state limit reached", "all reachable states"))
 			if found || trace != "" && trace != "limit" {
 				t.Errorf("after %d states: %s", states, trace)
 			}
@@ -71,7 +73,7 @@
 	}
 }
 
-func TestExploreFindsWhatIsTakenOut(t *testing.T) {
+func TestExploreDetectsMutations(t *testing.T) {
 	small := bounds{ranks: 2, leaders: 2, steps: 1}
 	tests := []struct {
 		mutation mutation
@@ -88,13 +90,13 @@
 			check.SetFatal(false)
 			states, found, _ := explore(tt.bounds, tt.mutation, 3*exploreLimit)
 			if !found {
-				t.Errorf("no step on two maps in %d states", states)
+				t.Errorf("no step under two maps in %d states", states)
 			}
 		})
 	}
 }
 
-// TestRandomSwitches walks at random through a larger group than can be explored whole.
+// TestRandomSwitches takes random walks through groups too large to explore exhaustively.
 func TestRandomSwitches(t *testing.T) {
 	check.SetFatal(true)
 	rapid.Check(t, func(t *rapid.T) {
@@ -102,14 +104,14 @@
 		w := newWorld(b)
 		for range rapid.IntRange(10, 120).Draw(t, "events") {
 			var options []*world
-			w.nexts(b, asShipped, func(n *world) { options = append(options, n) })
+			w.successors(b, noMutation, func(n *world) { options = append(options, n) })
 			if len(options) == 0 {
 				break
 			}
 			w = options[rapid.IntRange(0, len(options)-1).Draw(t, "event")]
 			w.prune()
-			if s, bad := w.twoMaps(); bad {
-				t.Fatalf("step %d on two maps: %v", s, w.used[s])
+			if s, bad := w.mapConflict(); bad {
+				t.Fatalf("step %d under two maps: %v", s, w.used[s])
 			}
 		}
 	})
--- a/epmap/guard.go
+++ b/epmap/guard.go
@@ -2,20 +2,22 @@
 
 import "geraniumpass/proto"
 
-// Guard is a rank's protection against old orders, for engines that don't check fencing numbers themselves.
+// Guard rejects stale orders on behalf of an engine that does not check fencing tokens.
 type Guard struct {
-	// Incarnation is the agent's; an order for another one is refused, because its sender knows a promise that is lost.
+	// Incarnation is the agent's incarnation. Orders for another incarnation are refused, because
+	// their sender relies on a fence or cap that may have been lost in a restart.
 	Incarnation uint64
 	Fence       uint64
 	Seq         uint64
 }
 
-// Engine carries an order out at the rank and returns whether it did and what the rank holds then.
+// Engine executes orders at a rank. Apply returns whether the order succeeded and the rank's state
+// afterwards.
 type Engine interface {
 	Apply(o *proto.Order) (bool, proto.RankState, error)
 }
 
-// Handle checks an order, has it carried out if it is not old, and returns the reply.
+// Handle executes an order unless it is stale and returns the reply.
 func (g *Guard) Handle(o *proto.Order, e Engine) (proto.OrderReply, error) {
 	reply := proto.OrderReply{
 		Incarnation: g.Incarnation,
--- a/epmap/inquiry.go
+++ b/epmap/inquiry.go
@@ -2,32 +2,35 @@
 
 import "geraniumpass/check"
 
-// maxDoubts is how many inquiries in a row may contradict themselves; each takes an agent that was restarted in its midst.
-const maxDoubts = 8
+// maxInconsistentInquiries bounds consecutive inquiries with inconsistent replies; each takes an
+// agent restart during the inquiry.
+const maxInconsistentInquiries = 8
 
-// Inquire asks every rank anew, for a leader that was away or whose ranks have changed.
+// Inquire restarts the inquiry, for a leader that was disconnected or whose ranks have changed.
 func (l *Leader) Inquire() {
 	if l.Phase != PhaseDeposed {
-		l.enter(PhaseInquire)
+		l.enterPhase(PhaseInquire)
 	}
 }
 
-// inquired decides from what all ranks hold: a grant anywhere is finished, promises without a grant are taken back.
-func (l *Leader) inquired() {
-	if l.contradictory() {
-		// The answers are of different times, which happens when an agent lost its fence between them: ask again.
-		l.doubts++
-		check.Assert(check.OneMap, l.doubts < maxDoubts, "ranks still contradict each other after %d inquiries: %+v", l.doubts, l.Ranks)
-		l.enter(PhaseInquire)
+// resolveInquiry decides how to continue from the state of all ranks: a switch with a grant
+// anywhere is completed, caps without a grant are removed.
+func (l *Leader) resolveInquiry() {
+	if l.inconsistent() {
+		// The replies reflect different moments, which happens when an agent restarted between them
+		// and lost its fence. Ask again.
+		l.inconsistentInquiries++
+		check.Assert(check.OneMap, l.inconsistentInquiries < maxInconsistentInquiries, "ranks still inconsistent after %d inquiries: %+v", l.inconsistentInquiries, l.Ranks)
+		l.enterPhase(PhaseInquire)
 		return
 	}
-	l.doubts = 0
-	if v, step, ok := l.granted(); ok {
+	l.inconsistentInquiries = 0
+	if v, step, ok := l.findGrant(); ok {
 		l.Plan = Plan{
 			Version: v,
 			Step:    step,
 		}
-		l.enter(PhaseGrant)
+		l.enterPhase(PhaseGrant)
 		return
 	}
 	for i := range l.Ranks {
@@ -35,17 +38,18 @@
 			continue
 		}
 		if l.Phase == PhaseInquire {
-			l.enter(PhaseConfirm)
+			l.enterPhase(PhaseConfirm)
 		} else {
-			l.enter(PhaseUncap)
+			l.enterPhase(PhaseUncap)
 		}
 		return
 	}
 	l.Phase = PhaseSteady
 }
 
-// contradictory returns true when one rank steps under a newer map than another that holds no promise for it.
-func (l *Leader) contradictory() bool {
+// inconsistent reports whether a rank runs under a newer map than another rank that is not capped
+// for that map.
+func (l *Leader) inconsistent() bool {
 	newest := l.Version()
 	for i := range l.Ranks {
 		s := &l.Ranks[i].State
@@ -56,8 +60,9 @@
 	return false
 }
 
-// granted finds a switch whose grant has reached a rank that others have not followed yet.
-func (l *Leader) granted() (version, step uint64, ok bool) {
+// findGrant returns the version and step of a switch that has been granted to some ranks but not
+// yet executed by all.
+func (l *Leader) findGrant() (version, step uint64, ok bool) {
 	newest := l.Version()
 	for i := range l.Ranks {
 		s := &l.Ranks[i].State
@@ -71,12 +76,12 @@
 	return 0, 0, false
 }
 
-// uncapped looks again when a rank still holds a promise that this leader did not know of.
-func (l *Leader) uncapped() {
+// finishUncap restarts the inquiry when a rank still holds a cap unknown to this leader.
+func (l *Leader) finishUncap() {
 	l.Phase = PhaseSteady
 	for i := range l.Ranks {
 		if l.Ranks[i].State.Capped {
-			l.enter(PhaseInquire)
+			l.enterPhase(PhaseInquire)
 			return
 		}
 	}
--- a/epmap/leader.go
+++ b/epmap/leader.go
@@ -2,10 +2,12 @@
 
 import "geraniumpass/proto"
 
-// versionsPerFence is how many switches one leader can make before it must take a new lease.
+// versionsPerFence is the number of map versions available per fencing token. A leader that has
+// used them needs a new lease.
 const versionsPerFence = 1 << 20
 
-// Leader drives the switches of one group under one fencing number; it is not safe for use by several goroutines.
+// Leader drives the map switches of one group under one fencing token; it is not safe for
+// concurrent use.
 type Leader struct {
 	Fence uint64
 	Seq   uint64
@@ -13,22 +15,23 @@
 	Plan  Plan
 	Ranks []RankView
 
-	switches uint64
-	doubts   int
+	switches              uint64
+	inconsistentInquiries int
 }
 
-// NewLeader returns a leader that begins with an inquiry.
+// NewLeader returns a leader that starts with an inquiry.
 func NewLeader(fence uint64, ranks int) *Leader {
 	l := &Leader{
 		Fence: fence,
 		Ranks: make([]RankView, ranks),
 	}
-	l.enter(PhaseInquire)
+	l.enterPhase(PhaseInquire)
 	return l
 }
 
-// enter begins a phase under a new sequence number, so that answers to earlier orders no longer count.
-func (l *Leader) enter(p Phase) {
+// enterPhase starts a phase under a new sequence number, which invalidates replies to earlier
+// orders.
+func (l *Leader) enterPhase(p Phase) {
 	l.Phase = p
 	l.Seq++
 	for i := range l.Ranks {
@@ -37,7 +40,8 @@
 	}
 }
 
-// Order returns the order that a rank still has to answer, or nil; it may be sent any number of times.
+// Order returns the order that a rank has yet to answer, or nil. It may be sent any number of
+// times.
 func (l *Leader) Order(rank int) *proto.Order {
 	v := &l.Ranks[rank]
 	if v.Answered {
@@ -53,7 +57,7 @@
 	case PhaseInquire, PhaseConfirm:
 		o.Kind = proto.OrderInquire
 		o.Version = 0
-		// All ranks hold the same map: one of them is enough to tell it.
+		// All ranks hold the same map, so only rank 0 sends it.
 		o.Full = rank == 0
 	case PhaseStage:
 		o.Kind = proto.OrderStage
@@ -73,7 +77,7 @@
 	return o
 }
 
-// Handle takes a rank's reply; one to an earlier order changes nothing.
+// Handle processes a rank's reply; replies to earlier orders are ignored.
 func (l *Leader) Handle(rank int, r *proto.OrderReply) {
 	if l.Phase == PhaseDeposed {
 		return
@@ -87,14 +91,14 @@
 		return
 	}
 	if l.Phase != PhaseInquire && r.Incarnation != v.Incarnation {
-		// The rank's agent was restarted and has forgotten the fence that it was given: all that is known must be asked anew.
-		l.enter(PhaseInquire)
+		// The rank's agent restarted and lost its fence, so the known state of the group is stale.
+		l.enterPhase(PhaseInquire)
 		return
 	}
 	v.Incarnation = r.Incarnation
 	v.OK = r.OK
 	v.State = r.Rank
-	// Staging is answered when it is done; until then the order is repeated.
+	// A rank answers stage and grant orders only once they are done; until then they are repeated.
 	v.Answered = l.Phase != PhaseStage && l.Phase != PhaseGrant || r.OK
 	if l.allAnswered() {
 		l.advance()
@@ -119,31 +123,32 @@
 	return true
 }
 
-// advance leaves a phase that every rank has answered.
+// advance moves to the next phase after every rank has answered.
 func (l *Leader) advance() {
 	switch l.Phase {
 	case PhaseInquire, PhaseConfirm:
-		l.inquired()
+		l.resolveInquiry()
 	case PhaseStage:
-		l.Plan.Step = l.cap()
-		l.enter(PhaseCap)
+		l.Plan.Step = l.switchStep()
+		l.enterPhase(PhaseCap)
 	case PhaseCap:
 		if l.allOK() {
-			l.enter(PhaseGrant)
+			l.enterPhase(PhaseGrant)
 		} else {
-			l.enter(PhaseUncap)
+			l.enterPhase(PhaseUncap)
 		}
 	case PhaseUncap:
-		l.uncapped()
+		l.finishUncap()
 	case PhaseGrant:
 		l.Phase = PhaseSteady
 	}
 }
 
-// margin is how far ahead of the ranks' steps a switch is set, so that the cap arrives in time.
-const margin = 16
+// defaultAheadSteps is the distance in steps from the most advanced rank to the switch, so that the
+// cap arrives in time.
+const defaultAheadSteps = 16
 
-func (l *Leader) cap() uint64 {
+func (l *Leader) switchStep() uint64 {
 	step := uint64(0)
 	for i := range l.Ranks {
 		step = max(step, l.Ranks[i].State.Step)
@@ -151,14 +156,14 @@
 	return step + l.Plan.Step
 }
 
-// Propose begins a switch to an encoded map and returns false when another one, or an inquiry, is under way.
-// Ahead is the number of steps that lie before the switch; zero takes a margin of 16.
+// Propose starts a switch to an encoded map and returns false while another switch or an inquiry is
+// in progress. The switch takes place ahead steps in the future; zero means defaultAheadSteps.
 func (l *Leader) Propose(encoded []byte, ahead uint64) bool {
 	if l.Phase != PhaseSteady || l.switches+1 >= versionsPerFence {
 		return false
 	}
 	if ahead == 0 {
-		ahead = margin
+		ahead = defaultAheadSteps
 	}
 	l.switches++
 	l.Plan = Plan{
@@ -166,25 +171,26 @@
 		Step:    ahead,
 		Map:     encoded,
 	}
-	l.enter(PhaseStage)
+	l.enterPhase(PhaseStage)
 	return true
 }
 
-// Abort gives a switch up that takes too long; it does nothing once a grant may have been sent.
+// Abort cancels a switch, for instance one that takes too long. It does nothing once a grant may
+// have been sent.
 func (l *Leader) Abort() {
 	switch l.Phase {
 	case PhaseStage:
 		l.Phase = PhaseSteady
 	case PhaseCap:
 		for i := range l.Ranks {
-			// A promise may have been given by a rank that has not answered.
+			// A rank that has not answered may hold a cap.
 			l.Ranks[i].State.CapMap = l.Plan.Version
 		}
-		l.enter(PhaseUncap)
+		l.enterPhase(PhaseUncap)
 	}
 }
 
-// Version returns the map that the ranks are known to step under.
+// Version returns the newest map version that any rank is known to run under.
 func (l *Leader) Version() uint64 {
 	v := uint64(0)
 	for i := range l.Ranks {
--- a/epmap/moves_test.go
+++ b/epmap/moves_test.go
@@ -8,11 +8,11 @@
 	"geraniumpass/proto"
 )
 
-// nexts calls fn with every state that one event leads to.
-func (w *world) nexts(b bounds, mut mutation, fn func(*world)) {
-	w.stepNexts(b, fn)
+// successors calls fn with every state that one event leads to.
+func (w *world) successors(b bounds, mut mutation, fn func(*world)) {
+	w.stepSuccessors(b, fn)
 	keys := lo.Keys(w.msgs)
-	// The same order every time, so that a bounded exploration visits the same states.
+	// The order is fixed so that a bounded exploration always visits the same states.
 	sort.Strings(keys)
 	for _, k := range keys {
 		n := w.clone()
@@ -21,7 +21,7 @@
 		}
 	}
 	for i := range w.leaders {
-		w.leaderNexts(b, i, mut, fn)
+		w.leaderSuccessors(b, i, mut, fn)
 	}
 	if w.restarts < b.restarts {
 		for r := range w.guards {
@@ -33,19 +33,19 @@
 	}
 }
 
-func (w *world) stepNexts(b bounds, fn func(*world)) {
+func (w *world) stepSuccessors(b bounds, fn func(*world)) {
 	slowest := w.engines[0].step
 	for i := range w.engines {
 		slowest = min(slowest, w.engines[i].step)
 	}
 	for r := range w.engines {
 		s := w.engines[r].step
-		// Ranks run in lock-step: nobody begins a step before all have begun the one before it.
+		// Ranks run in lock-step: none starts a step before all have started the previous one.
 		if s > b.steps || s > slowest {
 			continue
 		}
 		n := w.clone()
-		if v, ok := n.engines[r].begin(); ok {
+		if v, ok := n.engines[r].beginStep(); ok {
 			n.used[s][r] = v
 			fn(n)
 		}
@@ -59,7 +59,7 @@
 		view := l.Ranks[m.rank]
 		l.Handle(m.rank, &m.reply)
 		if mut == smallQuorum {
-			w.fakeQuorum(l)
+			w.skipLastRank(l)
 		}
 		if l.Phase == before.Phase && l.Seq == before.Seq && l.Ranks[m.rank].Answered == view.Answered && l.Ranks[m.rank].OK == view.OK {
 			return false
@@ -76,9 +76,9 @@
 		o.Incarnation = g.Incarnation
 	}
 	e := &w.engines[m.rank]
-	e.ignoring = mut == noCap
+	e.ignoresCap = mut == noCap
 	reply, err := g.Handle(&o, e)
-	e.ignoring = false
+	e.ignoresCap = false
 	if err != nil {
 		return false
 	}
@@ -93,8 +93,8 @@
 	return true
 }
 
-// fakeQuorum lets a leader go on although the last rank has not answered.
-func (w *world) fakeQuorum(l *Leader) {
+// skipLastRank lets a leader advance without the last rank's answer.
+func (w *world) skipLastRank(l *Leader) {
 	last := len(l.Ranks) - 1
 	for i := range last {
 		if !l.Ranks[i].Answered {
@@ -107,7 +107,7 @@
 	}
 }
 
-func (w *world) leaderNexts(b bounds, i int, mut mutation, fn func(*world)) {
+func (w *world) leaderSuccessors(b bounds, i int, mut mutation, fn func(*world)) {
 	l := &w.leaders[i]
 	if l.Phase == PhaseSteady && !w.proposed[i] {
 		n := w.clone()
@@ -134,7 +134,7 @@
 				u.Ranks[r].State.CapMap = u.Plan.Version
 			}
 		}
-		u.enter(PhaseUncap)
+		u.enterPhase(PhaseUncap)
 		n.send(i)
 		fn(n)
 	}
--- a/epmap/peek.go
+++ b/epmap/peek.go
@@ -2,8 +2,9 @@
 
 import "geraniumpass/proto"
 
-// Peek returns an inquiry of rank 0 alone, for its map and popularity, while no switch is under way, and nil otherwise.
-func (l *Leader) Peek() *proto.Order {
+// PollOrder returns an inquiry of rank 0 alone, for its map and expert token counts, or nil while a
+// switch is in progress.
+func (l *Leader) PollOrder() *proto.Order {
 	if l.Phase != PhaseSteady {
 		return nil
 	}
@@ -16,13 +17,14 @@
 	}
 }
 
-// Peeked takes the reply to Peek and returns true when it is one; a restarted agent makes the leader inquire of all ranks.
-func (l *Leader) Peeked(r *proto.OrderReply) bool {
+// HandlePoll processes a reply to PollOrder and reports whether it was valid. When the agent has
+// restarted, it starts an inquiry of all ranks.
+func (l *Leader) HandlePoll(r *proto.OrderReply) bool {
 	if l.Phase != PhaseSteady || r.Kind != proto.OrderInquire || r.Fence != l.Fence || r.Seq != l.Seq || !r.OK {
 		return false
 	}
 	if r.Incarnation != l.Ranks[0].Incarnation {
-		l.enter(PhaseInquire)
+		l.enterPhase(PhaseInquire)
 		return false
 	}
 	l.Ranks[0].State = r.Rank
--- a/epmap/phase.go
+++ b/epmap/phase.go
@@ -1,26 +1,28 @@
 package epmap
 
-// Phase is where a leader stands.
+// Phase is the state of a leader.
 type Phase uint8
 
-// The phases of a leader.
+// Phases of a leader.
 const (
-	// PhaseInquire asks every rank what it holds; nothing else is done before all have answered.
+	// PhaseInquire asks every rank for its state. Nothing else happens before all have answered.
 	PhaseInquire Phase = iota + 1
-	// PhaseConfirm asks every rank once more before promises are taken back: an agent that was restarted between its answer
-	// and the last rank's has forgotten the fence, and an older leader may have gone on there.
+	// PhaseConfirm repeats the inquiry before caps are removed. An agent that restarted between its
+	// answer and the last rank's has lost its fence, so an older leader may have continued there.
 	PhaseConfirm
-	// PhaseSteady means that no switch is under way.
+	// PhaseSteady means that no switch is in progress.
 	PhaseSteady
-	// PhaseStage has every rank load the experts that it lacks.
+	// PhaseStage has every rank load the experts it lacks.
 	PhaseStage
 	// PhaseCap has every rank promise to wait at the step of the switch.
 	PhaseCap
-	// PhaseUncap takes the promises back; it follows a cap that not every rank gave.
+	// PhaseUncap removes the caps after a cap order that not every rank accepted.
 	PhaseUncap
-	// PhaseGrant tells every rank the map of the step; from here there is only forward.
+	// PhaseGrant sends every rank the map version for the step. From here the switch can no longer
+	// be aborted.
 	PhaseGrant
-	// PhaseDeposed means that a rank has seen a higher fence; this leader does nothing any more.
+	// PhaseDeposed means that a rank has seen a higher fencing token. This leader takes no further
+	// action.
 	PhaseDeposed
 )
 
--- a/epmap/plan.go
+++ b/epmap/plan.go
@@ -1,6 +1,7 @@
 package epmap
 
-// Plan is a switch to a map from a step on; Version is unique to the switch, so that a late order of another one does nothing.
+// Plan is a switch to a new map at a given step. Version is unique per switch, so that late orders
+// of another switch have no effect.
 type Plan struct {
 	Version uint64
 	Step    uint64
--- a/epmap/rankview.go
+++ b/epmap/rankview.go
@@ -2,7 +2,7 @@
 
 import "geraniumpass/proto"
 
-// RankView is what a leader knows of one rank.
+// RankView is a leader's view of one rank.
 type RankView struct {
 	Incarnation uint64
 	Answered    bool
--- a/epmap/script_test.go
+++ b/epmap/script_test.go
@@ -17,24 +17,25 @@
 	mut mutation
 }
 
-// orders delivers a leader's open orders of one kind to the given ranks, and the replies to the leader when answer is true.
-func (s *script) orders(leader int, kind proto.OrderKind, answer bool, ranks ...int) {
+// deliverOrders delivers a leader's pending orders of one kind to the given ranks, and the replies
+// to the leader if answer is set.
+func (s *script) deliverOrders(leader int, kind proto.OrderKind, answer bool, ranks ...int) {
 	s.t.Helper()
 	for _, r := range ranks {
 		m, ok := s.find(func(m message) bool {
 			return !m.answer && m.leader == leader && m.rank == r && m.order.Kind == kind
 		})
 		if !ok {
-			s.t.Fatalf("leader %d has sent no %s to rank %d; phase %s", leader, kind, r, s.w.leaders[leader].Phase)
+			s.t.Fatalf("leader %d has not sent %s to rank %d; phase %s", leader, kind, r, s.w.leaders[leader].Phase)
 		}
 		s.w.deliver(m, s.mut)
 		if answer {
-			s.replies(leader, r)
+			s.deliverReply(leader, r)
 		}
 	}
 }
 
-func (s *script) replies(leader, rank int) {
+func (s *script) deliverReply(leader, rank int) {
 	seq := s.w.leaders[leader].Seq
 	m, ok := s.find(func(m message) bool {
 		return m.answer && m.leader == leader && m.rank == rank && m.reply.Seq == seq
@@ -44,7 +45,7 @@
 	}
 }
 
-// find returns the newest message that matches.
+// find returns the newest matching message.
 func (s *script) find(match func(message) bool) (message, bool) {
 	keys := lo.Keys(s.w.msgs)
 	sort.Strings(keys)
@@ -69,24 +70,24 @@
 	s.w.send(leader)
 }
 
-// step has every rank that may take step 1.
+// step lets every rank that is able to do so take step 1.
 func (s *script) step() {
 	for r := range s.w.engines {
 		if s.w.engines[r].step > 1 {
 			continue
 		}
-		if v, ok := s.w.engines[r].begin(); ok {
+		if v, ok := s.w.engines[r].beginStep(); ok {
 			s.w.used[1][r] = v
 		}
 	}
 }
 
-// capBoth brings leader 0 to the point at which its grants are sent but not delivered.
+// capBoth advances leader 0 until its grants are sent but not delivered.
 func (s *script) capBoth() {
-	s.orders(0, proto.OrderInquire, true, 0, 1)
+	s.deliverOrders(0, proto.OrderInquire, true, 0, 1)
 	s.propose(0)
-	s.orders(0, proto.OrderStage, true, 0, 1)
-	s.orders(0, proto.OrderCap, true, 0, 1)
+	s.deliverOrders(0, proto.OrderStage, true, 0, 1)
+	s.deliverOrders(0, proto.OrderCap, true, 0, 1)
 	if p := s.w.leaders[0].Phase; p != PhaseGrant {
 		s.t.Fatalf("leader 0 is in phase %s", p)
 	}
@@ -99,8 +100,8 @@
 		run  func(s *script)
 		want bool
 	}{
-		{name: "old grant at a restarted rank", run: oldGrant},
-		{name: "old grant at a restarted rank", mut: noIncarnation, run: oldGrant, want: true},
+		{name: "old grant at a restarted rank", run: staleGrant},
+		{name: "old grant at a restarted rank", mut: noIncarnation, run: staleGrant, want: true},
 		{name: "restart in the midst of an inquiry", run: restartInInquiry},
 		{name: "restart in the midst of an inquiry", mut: noConfirm, run: restartInInquiry, want: true},
 	}
@@ -109,42 +110,43 @@
 			check.SetFatal(true)
 			s := &script{t: t, w: newWorld(bounds{ranks: 2, leaders: 2, steps: 1}), mut: tt.mut}
 			tt.run(s)
-			if _, got := s.w.twoMaps(); got != tt.want {
-				t.Errorf("two maps in a step: %t, want %t; used %v", got, tt.want, s.w.used)
+			if _, got := s.w.mapConflict(); got != tt.want {
+				t.Errorf("step under two maps: %t, want %t; used %v", got, tt.want, s.w.used)
 			}
 		})
 	}
 }
 
-// oldGrant: leader 1 takes the promises back, then rank 1 is restarted and gets the old leader's grant.
-func oldGrant(s *script) {
+// staleGrant: leader 1 removes the caps, then rank 1 restarts and receives the old leader's grant.
+func staleGrant(s *script) {
 	s.capBoth()
-	s.orders(1, proto.OrderInquire, true, 0, 1)
-	s.orders(1, proto.OrderInquire, true, 0, 1)
-	s.orders(1, proto.OrderUncap, true, 0)
+	s.deliverOrders(1, proto.OrderInquire, true, 0, 1)
+	s.deliverOrders(1, proto.OrderInquire, true, 0, 1)
+	s.deliverOrders(1, proto.OrderUncap, true, 0)
 	s.step()
 	s.restart(1)
-	s.orders(0, proto.OrderGrant, true, 1)
+	s.deliverOrders(0, proto.OrderGrant, true, 1)
 	s.step()
 }
 
-// restartInInquiry: rank 1 answers leader 1 before the old leader's cap and is restarted, so that the old leader may go on there.
+// restartInInquiry: rank 1 answers leader 1 before the old leader's cap and restarts, so that the
+// old leader may continue there.
 func restartInInquiry(s *script) {
-	s.orders(1, proto.OrderInquire, true, 1)
+	s.deliverOrders(1, proto.OrderInquire, true, 1)
 	s.restart(1)
 	s.capBoth()
-	s.orders(1, proto.OrderInquire, true, 0)
+	s.deliverOrders(1, proto.OrderInquire, true, 0)
 	l := &s.w.leaders[1]
 	if s.mut == noConfirm && l.Phase == PhaseConfirm {
-		l.enter(PhaseUncap)
+		l.enterPhase(PhaseUncap)
 		s.w.send(1)
 	}
 	if l.Phase == PhaseUncap {
-		s.orders(1, proto.OrderUncap, true, 0)
+		s.deliverOrders(1, proto.OrderUncap, true, 0)
 	} else {
-		s.orders(1, proto.OrderInquire, true, 0, 1)
+		s.deliverOrders(1, proto.OrderInquire, true, 0, 1)
 	}
 	s.step()
-	s.orders(0, proto.OrderGrant, true, 1)
+	s.deliverOrders(0, proto.OrderGrant, true, 1)
 	s.step()
 }
--- a/epmap/world_test.go
+++ b/epmap/world_test.go
@@ -8,11 +8,12 @@
 	"geraniumpass/proto"
 )
 
-// mutation takes one mechanism out of the protocol, to show that the exploration would notice.
+// mutation disables one mechanism of the protocol, to show that the exploration detects its
+// absence.
 type mutation string
 
 const (
-	asShipped     mutation = ""
+	noMutation    mutation = ""
 	noFence       mutation = "no fencing check"
 	noCap         mutation = "no cap"
 	smallQuorum   mutation = "one rank missing from the quorum"
@@ -31,7 +32,8 @@
 	aborts   int
 }
 
-// message is an order or a reply that was sent; it stays deliverable, so that every loss, delay, repeat and order is covered.
+// message is an order or reply that was sent. It stays deliverable, which covers every loss, delay,
+// repeat and reordering.
 type message struct {
 	leader int
 	rank   int
@@ -117,7 +119,7 @@
 	return 0
 }
 
-// send puts a leader's open orders among the messages.
+// send adds a leader's pending orders to the messages.
 func (w *world) send(leader int) {
 	l := &w.leaders[leader]
 	for r := range l.Ranks {
@@ -129,7 +131,7 @@
 	}
 }
 
-// prune drops messages that can't have any effect any more.
+// prune drops messages that can no longer have an effect.
 func (w *world) prune() {
 	for k, m := range w.msgs {
 		l := &w.leaders[m.leader]
@@ -183,8 +185,8 @@
 	return string(b) + strings.Join(keys, "|")
 }
 
-// twoMaps returns the first step that two ranks took under different maps.
-func (w *world) twoMaps() (int, bool) {
+// mapConflict returns the first step that two ranks executed under different maps.
+func (w *world) mapConflict() (int, bool) {
 	for s, u := range w.used {
 		seen := uint64(0)
 		for _, v := range u {
--- a/group/agent.go
+++ b/group/agent.go
@@ -250,19 +250,19 @@
 
 func (a *Agent) stateFrame(rep Report) *proto.GroupRank {
 	return &proto.GroupRank{
-		Born:      rep.EngineStart,
-		Group:     rep.Group,
-		Epoch:     rep.Epoch,
-		Rank:      rep.Rank,
-		Size:      rep.Size,
-		Open:      rep.Open,
-		Step:      rep.Step,
-		Map:       rep.Map,
-		Prepared:  rep.Prepared,
-		Armed:     rep.Armed,
-		ArmedStep: rep.ArmedStep,
-		Held:      rep.Held,
-		Pace:      rep.Pace,
+		EngineStart: rep.EngineStart,
+		Group:       rep.Group,
+		Epoch:       rep.Epoch,
+		Rank:        rep.Rank,
+		Size:        rep.Size,
+		Open:        rep.Open,
+		Step:        rep.Step,
+		Map:         rep.Map,
+		Prepared:    rep.Prepared,
+		Armed:       rep.Armed,
+		ArmedStep:   rep.ArmedStep,
+		Held:        rep.Held,
+		Pace:        rep.Pace,
 	}
 }
 
--- a/group/counts.go
+++ b/group/counts.go
@@ -14,20 +14,20 @@
 func (a *Agent) packCounts(f *proto.GroupRank) {
 	chosen, unit := a.tally.Take()
 	if f.Size*len(chosen) <= maxExactCountBytes {
-		f.Chosen, f.Unit = chosen, unit
+		f.ExpertCounts, f.CountUnit = chosen, unit
 		return
 	}
 	if a.packer == nil || a.packerRank != f.Rank {
 		a.packer, a.packerRank = place.NewPacker(f.Rank), f.Rank
 	}
-	f.Chosen, f.Unit = a.packer.Pack(chosen, unit)
+	f.ExpertCounts, f.CountUnit = a.packer.Pack(chosen, unit)
 	f.Experts = len(chosen)
 }
 
 // unpackCounts returns a rank's counts, or nil if it sent none.
 func unpackCounts(r *proto.GroupRank) []byte {
 	if r.Experts == 0 {
-		return r.Chosen
+		return r.ExpertCounts
 	}
-	return place.Unpack(r.Chosen, r.Experts)
+	return place.Unpack(r.ExpertCounts, r.Experts)
 }
--- a/group/counts_test.go
+++ b/group/counts_test.go
@@ -36,7 +36,7 @@
 			a.tally.Add(counts)
 			f := &proto.GroupRank{Rank: 3, Size: tt.ranks}
 			a.packCounts(f)
-			if together := tt.ranks * len(f.Chosen); together > most {
+			if together := tt.ranks * len(f.ExpertCounts); together > most {
 				t.Errorf("all ranks together send %d bytes", together)
 			}
 			got := unpackCounts(f)
@@ -44,9 +44,9 @@
 				t.Fatalf("%d counts, want %d", len(got), tt.counts)
 			}
 			for i := range got {
-				off := float64(got[i])*f.Unit - float64(counts[i])
-				if tt.exact && off != 0 || off > f.Unit || off < -f.Unit {
-					t.Fatalf("count %d is %d in units of %v, want %d", i, got[i], f.Unit, counts[i])
+				off := float64(got[i])*f.CountUnit - float64(counts[i])
+				if tt.exact && off != 0 || off > f.CountUnit || off < -f.CountUnit {
+					t.Fatalf("count %d is %d in units of %v, want %d", i, got[i], f.CountUnit, counts[i])
 				}
 			}
 		})
--- a/group/lead.go
+++ b/group/lead.go
@@ -224,13 +224,13 @@
 	d.reportedPaces[r] = paceOf(rank)
 	d.starts[r] = d.instances[e.address]
 	if chosen := unpackCounts(rank); len(chosen) > 0 {
-		d.demand.Observe(d.m.Clock.Now(), chosen, rank.Unit)
+		d.demand.Observe(d.m.Clock.Now(), chosen, rank.CountUnit)
 	}
-	if rank.Lists != nil {
-		d.lists[r], d.listsVersion[r] = rank.Lists, rank.ListsMap
+	if rank.ExpertLists != nil {
+		d.lists[r], d.listsVersion[r] = rank.ExpertLists, rank.ExpertListsVersion
 	}
 	s := stateOf(rank)
-	if rank.Seq != 0 && rank.Seq == d.seqs[r] && rank.Unknown {
+	if rank.Seq != 0 && rank.Seq == d.seqs[r] && rank.NeedsFullMap {
 		d.baseMap[r], d.mapSent[r] = shift.None, shift.None
 		d.sent[r] = shift.Order{}
 		d.leader.Observe(r, s)
@@ -253,7 +253,7 @@
 
 func stateOf(r *proto.GroupRank) shift.State {
 	return shift.State{
-		EngineStart: r.Born,
+		EngineStart: r.EngineStart,
 		Epoch:       r.Epoch,
 		Open:        r.Open,
 		Step:        r.Step,
--- a/group/maps.go
+++ b/group/maps.go
@@ -26,11 +26,11 @@
 	}
 	layout = o.Map
 	if layout == nil {
-		i := slices.Index(m.versions, o.Base)
+		i := slices.Index(m.versions, o.BaseVersion)
 		if i < 0 {
 			return nil, false
 		}
-		if layout, ok = applyChange(m.layouts[i], o.Change); !ok {
+		if layout, ok = applyChange(m.layouts[i], o.MapDelta); !ok {
 			return nil, false
 		}
 	}
--- a/group/maps_test.go
+++ b/group/maps_test.go
@@ -51,7 +51,7 @@
 			if _, ok := m.resolve(&proto.GroupOrder{Version: 1, Map: base}); !ok {
 				t.Fatal("a whole map was rejected")
 			}
-			got, ok := m.resolve(&proto.GroupOrder{Version: 2, Base: 1, Change: encodeChange(base, tt.next)})
+			got, ok := m.resolve(&proto.GroupOrder{Version: 2, BaseVersion: 1, MapDelta: encodeChange(base, tt.next)})
 			if !ok || !reflect.DeepEqual(got, tt.next) {
 				t.Errorf("applying the encoded change does not yield the next map")
 			}
@@ -71,15 +71,15 @@
 		name string
 		o    proto.GroupOrder
 	}{
-		{"no base", proto.GroupOrder{Version: 9, Base: 7}},
-		{"base too old", proto.GroupOrder{Version: 9, Base: 1}},
+		{"no base", proto.GroupOrder{Version: 9, BaseVersion: 7}},
+		{"base too old", proto.GroupOrder{Version: 9, BaseVersion: 1}},
 		{"neither map nor base", proto.GroupOrder{Version: 9}},
-		{"row outside", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0x80, 0x03, 1, 0}}},
-		{"place outside", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0, 5*editKinds + editRemove}}},
-		{"a place removed twice", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0, editRemove, 0, editRemove}}},
-		{"cut", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0, editAdd}}},
-		{"number without an end", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0xff}}},
-		{"number too large", proto.GroupOrder{Version: 9, Base: 5, Change: []byte{0, editAdd, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}}},
+		{"row outside", proto.GroupOrder{Version: 9, BaseVersion: 5, MapDelta: []byte{0x80, 0x03, 1, 0}}},
+		{"place outside", proto.GroupOrder{Version: 9, BaseVersion: 5, MapDelta: []byte{0, 5*editKinds + editRemove}}},
+		{"a place removed twice", proto.GroupOrder{Version: 9, BaseVersion: 5, MapDelta: []byte{0, editRemove, 0, editRemove}}},
+		{"cut", proto.GroupOrder{Version: 9, BaseVersion: 5, MapDelta: []byte{0, editAdd}}},
+		{"number without an end", proto.GroupOrder{Version: 9, BaseVersion: 5, MapDelta: []byte{0xff}}},
+		{"number too large", proto.GroupOrder{Version: 9, BaseVersion: 5, MapDelta: []byte{0, editAdd, 0xff, 0xff, 0xff, 0xff, 0xff, 0x7f}}},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -113,7 +113,7 @@
 		r := i * 7 % 64
 		next[i%12][r] = []int{r, r + 64, r + 128, 192 + (r+1)%64}
 	}
-	b, err := proto.Marshal(&proto.GroupOrder{Version: 2, Base: 1, Change: encodeChange(base, next)})
+	b, err := proto.Marshal(&proto.GroupOrder{Version: 2, BaseVersion: 1, MapDelta: encodeChange(base, next)})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/group/orders.go
+++ b/group/orders.go
@@ -17,7 +17,7 @@
 		Epoch:   o.Epoch,
 		Version: o.Version,
 		Step:    o.Step,
-		Ahead:   o.Ahead,
+		Ahead:   o.MinAhead,
 	}
 	a.mu.Lock()
 	if o.Group != a.report.Group {
@@ -50,8 +50,8 @@
 		if layout, ok = a.mapCache.resolve(o); !ok {
 			f := a.stateFrame(a.report)
 			a.mu.Unlock()
-			f.Seq, f.Unknown = o.Seq, true
-			a.Log.Info("cannot build map: base is unknown or change is invalid", "version", o.Version, "base", o.Base)
+			f.Seq, f.NeedsFullMap = o.Seq, true
+			a.Log.Info("cannot build map: base is unknown or change is invalid", "version", o.Version, "base", o.BaseVersion)
 			_ = l.Send(&proto.Frame{RankState: f})
 			return
 		}
@@ -83,7 +83,7 @@
 		if err != nil {
 			return
 		}
-		f.ListsMap, f.Lists = version, lists
+		f.ExpertListsVersion, f.ExpertLists = version, lists
 	}
 	a.Log.Info("order", "op", o.Op.String(), "fence", o.Fence, "version", o.Version, "step", o.Step, "epoch", o.Epoch,
 		"ok", f.OK, "refused", f.Refused, "at", rep.Step, "map", rep.Map, "held", rep.Held, "armed", rep.Armed)
--- a/group/send.go
+++ b/group/send.go
@@ -56,14 +56,14 @@
 // orderFrame returns the frame of an order to a rank, with the next map if the order needs it.
 func (d *leadership) orderFrame(r int, o shift.Order) *proto.GroupOrder {
 	f := &proto.GroupOrder{
-		Group:   d.group,
-		Fence:   o.Fence,
-		Seq:     d.seqs[r],
-		Op:      uint8(o.Op),
-		Epoch:   o.Epoch,
-		Version: o.Version,
-		Step:    o.Step,
-		Ahead:   o.Ahead,
+		Group:    d.group,
+		Fence:    o.Fence,
+		Seq:      d.seqs[r],
+		Op:       uint8(o.Op),
+		Epoch:    o.Epoch,
+		Version:  o.Version,
+		Step:     o.Step,
+		MinAhead: o.Ahead,
 	}
 	if o.Op == shift.OpPrepare {
 		d.addMap(r, f)
@@ -78,7 +78,7 @@
 	switch {
 	case d.mapSent[r] == f.Version:
 	case d.knowsBase(r):
-		f.Base, f.Change = d.inUse, d.change
+		f.BaseVersion, f.MapDelta = d.inUse, d.change
 	default:
 		f.Map = d.layout
 	}
--- a/group/send_test.go
+++ b/group/send_test.go
@@ -33,8 +33,8 @@
 		Epoch:   1,
 		Version: 6,
 	}
-	bare := func(f *proto.GroupOrder) bool { return f.Map == nil && f.Base == 0 && f.Change == nil }
-	if f := d.orderFrame(known, o); f.Base != 5 || len(f.Change) == 0 || f.Map != nil {
+	bare := func(f *proto.GroupOrder) bool { return f.Map == nil && f.BaseVersion == 0 && f.MapDelta == nil }
+	if f := d.orderFrame(known, o); f.BaseVersion != 5 || len(f.MapDelta) == 0 || f.Map != nil {
 		t.Errorf("a rank that knows the map in use is sent %+v", f)
 	}
 	if f := d.orderFrame(unknown, o); f.Map == nil {
--- a/ledger/claim.go
+++ b/ledger/claim.go
@@ -2,7 +2,8 @@
 
 import "time"
 
-// claim is a non-idempotent request with a caller's key; once it ran, or was refused here, that stays so.
+// claim is a non-idempotent request with a caller's idempotency key. A claim that ran or was
+// refused here never runs again here.
 type claim struct {
 	digest  uint64
 	holder  Key
--- a/ledger/claims.go
+++ b/ledger/claims.go
@@ -15,15 +15,15 @@
 		cs.claims[o.ClaimKey] = &claim{
 			digest:  o.ClaimDigest,
 			holder:  o.Key,
-			expires: l.clock.Now().Add(o.ClaimFor),
+			expires: l.clock.Now().Add(o.ClaimRetention),
 		}
 		return Verdict{Action: ActionQueue}
 	}
 	if c.digest != o.ClaimDigest {
-		return refuse(core.ReasonKeyReused)
+		return refusal(core.ReasonKeyReused)
 	}
 	if c.refused {
-		return refuse(core.ReasonClaimMoved)
+		return refusal(core.ReasonClaimMoved)
 	}
 	return Verdict{
 		Action: ActionAttach,
@@ -43,7 +43,8 @@
 	return true
 }
 
-// refuseClaim refuses a claim whose holder never ran for good, so that its home may be moved to another agent.
+// refuseClaim permanently refuses a claim whose holder never ran, so that the claim may move to
+// another agent.
 func (l *Ledger) refuseClaim(claimKey string, k Key) {
 	if claimKey == "" {
 		return
@@ -56,7 +57,7 @@
 	}
 }
 
-// ClaimClosed returns true when a claim was refused here for good without having run.
+// ClaimClosed reports whether the claim was permanently refused here without having run.
 func (l *Ledger) ClaimClosed(claimKey string) bool {
 	if claimKey == "" {
 		return false
--- a/ledger/doc.go
+++ b/ledger/doc.go
@@ -1,2 +1,3 @@
-// Package ledger keeps an agent's record of every attempt, so that nothing runs twice and nothing refused runs at all.
+// Package ledger records every attempt at an agent, so that no attempt runs twice and no refused
+// attempt ever runs.
 package ledger
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -12,7 +12,8 @@
 
 const shardCount = 16
 
-// Ledger is the authority on what has run at one upstream during one incarnation of its agent.
+// Ledger is the authority on which attempts ran at one upstream during one incarnation of its
+// agent.
 type Ledger struct {
 	clock       clockwork.Clock
 	incarnation uint64
@@ -21,7 +22,7 @@
 	claims      [shardCount]claimShard
 }
 
-// New returns an empty ledger; sessions that are silent for the retention are forgotten.
+// New returns an empty ledger that removes sessions idle for longer than retention.
 func New(clock clockwork.Clock, incarnation uint64, retention time.Duration) *Ledger {
 	l := &Ledger{
 		clock:       clock,
@@ -35,25 +36,25 @@
 	return l
 }
 
-// Incarnation returns the agent's incarnation that this ledger belongs to.
+// Incarnation returns the incarnation of the agent that owns the ledger.
 func (l *Ledger) Incarnation() uint64 {
 	return l.incarnation
 }
 
-// Offer records a dispatch and says what to do with it.
+// Offer records a dispatch and returns what the agent must do with it.
 func (l *Ledger) Offer(o Offer) Verdict {
 	if o.Incarnation != l.incarnation {
-		return refuse(core.ReasonOtherIncarnation)
+		return refusal(core.ReasonOtherIncarnation)
 	}
 	s := l.sessionShard(o.Key.Session)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ses := s.get(o.Key.Session, l.clock.Now())
+	ses := s.getOrCreate(o.Key.Session, l.clock.Now())
 	if o.Key.N < ses.floor {
-		return refuse(core.ReasonStaleDispatch)
+		return refusal(core.ReasonStaleDispatch)
 	}
 	if r, ok := ses.records[o.Key.N]; ok {
-		return known(r)
+		return recordedVerdict(r)
 	}
 	r := &record{
 		state:      StateQueued,
@@ -72,15 +73,17 @@
 	return v
 }
 
-// known answers a dispatch whose number is on record: a tombstone refuses it, anything else is a repeated frame.
-func known(r *record) Verdict {
+// recordedVerdict handles a dispatch whose number is already recorded: a tombstone refuses it, any
+// other record makes it a duplicate frame.
+func recordedVerdict(r *record) Verdict {
 	if r.state == StateRefused {
-		return refuse(core.ReasonCancelled)
+		return refusal(core.ReasonCancelled)
 	}
 	return Verdict{Action: ActionIgnore}
 }
 
-// Start moves an attempt from queued to running and returns false when it was refused in the meantime.
+// Start moves an attempt from queued to running. It returns false when the attempt was refused in
+// the meantime.
 func (l *Ledger) Start(k Key) bool {
 	s := l.sessionShard(k.Session)
 	s.mu.Lock()
@@ -89,7 +92,7 @@
 	if r == nil || r.state == StateRefused {
 		return false
 	}
-	check.Assert(check.AtMostOnce, r.state == StateQueued && r.starts == 0, "attempt %s starts in state %d after %d starts", k, r.state, r.starts)
+	check.Assert(check.AtMostOnce, r.state == StateQueued && r.starts == 0, "attempt %s started in state %d after %d starts", k, r.state, r.starts)
 	if r.state != StateQueued {
 		return false
 	}
@@ -102,19 +105,20 @@
 	return true
 }
 
-// Finish moves an attempt from running to done.
+// Finish moves a running attempt to done.
 func (l *Ledger) Finish(k Key) {
 	s := l.sessionShard(k.Session)
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if r := s.record(k); r != nil {
-		check.Assert(check.NotRunNeverRan, r.state != StateRefused, "attempt %s finishes after it was refused", k)
+		check.Assert(check.NotRunNeverRan, r.state != StateRefused, "attempt %s finished after it was refused", k)
 		r.state = StateDone
 	}
 }
 
-// Unsent moves an attempt from running to refused when nothing of it had left for the upstream, so that it did not run.
-func (l *Ledger) Unsent(k Key) {
+// MarkUnsent moves a running attempt to refused, because no part of it reached the upstream and so
+// it did not run.
+func (l *Ledger) MarkUnsent(k Key) {
 	s := l.sessionShard(k.Session)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -134,12 +138,12 @@
 	}
 }
 
-// Cancel gives an attempt up and returns true only when it did not run and now never will.
+// Cancel cancels an attempt and reports whether it has not run and never will.
 func (l *Ledger) Cancel(k Key) bool {
 	s := l.sessionShard(k.Session)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ses := s.get(k.Session, l.clock.Now())
+	ses := s.getOrCreate(k.Session, l.clock.Now())
 	r, ok := ses.records[k.N]
 	switch {
 	case !ok && k.N < ses.floor:
@@ -153,13 +157,13 @@
 	case r.state != StateQueued || r.attached:
 		return false
 	}
-	check.Assert(check.NotRunNeverRan, r.starts == 0, "attempt %s is refused after %d starts", k, r.starts)
+	check.Assert(check.NotRunNeverRan, r.starts == 0, "attempt %s refused as not run after %d starts", k, r.starts)
 	r.state = StateRefused
 	l.refuseClaim(r.claimKey, k)
 	return true
 }
 
-// State returns where an attempt stands, and false when it is not on record.
+// State returns the state of an attempt, and false when it is not recorded.
 func (l *Ledger) State(k Key) (State, bool) {
 	s := l.sessionShard(k.Session)
 	s.mu.Lock()
@@ -171,12 +175,13 @@
 	return r.state, true
 }
 
-// Settle forgets the session's finished attempts below floor; a dispatch below it is refused from now on.
-func (l *Ledger) Settle(of Session, floor uint64) {
-	s := l.sessionShard(of)
+// RaiseFloor removes the session's finished attempts below floor. Later dispatches below it are
+// refused.
+func (l *Ledger) RaiseFloor(id Session, floor uint64) {
+	s := l.sessionShard(id)
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	ses := s.get(of, l.clock.Now())
+	ses := s.getOrCreate(id, l.clock.Now())
 	ses.floor = max(ses.floor, floor)
 	for n, r := range ses.records {
 		if n < ses.floor && r.state != StateQueued && r.state != StateRunning {
@@ -185,7 +190,8 @@
 	}
 }
 
-// Expire forgets the claims whose time is over and the sessions that were silent for the retention.
+// Expire removes claims past their retention and sessions idle for longer than the ledger's
+// retention.
 func (l *Ledger) Expire() {
 	now := l.clock.Now()
 	for i := range l.claims {
@@ -194,7 +200,7 @@
 	}
 }
 
-// Size returns the number of attempts and of claims on record.
+// Size returns the number of recorded attempts and claims.
 func (l *Ledger) Size() (attempts, claims int) {
 	for i := range l.sessions {
 		attempts += l.sessions[i].size()
@@ -207,7 +213,7 @@
 	return &l.sessions[xxhash.Sum64String(s.Entry)%shardCount]
 }
 
-func refuse(reason core.Reason) Verdict {
+func refusal(reason core.Reason) Verdict {
 	return Verdict{
 		Action:  ActionRefuse,
 		Outcome: core.OutcomeNotRun,
--- a/ledger/ledger_test.go
+++ b/ledger/ledger_test.go
@@ -23,8 +23,9 @@
 	}
 }
 
-// TestLedgerKeepsItsWord offers, starts, cancels and settles at random, with messages repeated, late and lost, and compares with what ran.
-func TestLedgerKeepsItsWord(t *testing.T) {
+// TestLedgerInvariants applies random offers, starts, cancels and finishes, including repeated,
+// late and lost messages, and checks that nothing runs twice or after it was reported as not run.
+func TestLedgerInvariants(t *testing.T) {
 	check.SetFatal(true)
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(clockwork.NewFakeClock(), incarnation, time.Hour)
@@ -41,7 +42,7 @@
 					claim = rapid.SampledFrom([]string{"", "", "x", "y"}).Draw(t, "claim")
 					claims[k] = claim
 				}
-				v := l.Offer(Offer{Key: k, Incarnation: incarnation, ClaimKey: claim, ClaimFor: time.Hour})
+				v := l.Offer(Offer{Key: k, Incarnation: incarnation, ClaimKey: claim, ClaimRetention: time.Hour})
 				if v.Action == ActionRefuse {
 					notRun[k] = true
 				}
@@ -63,7 +64,7 @@
 			}
 			for k, n := range runs {
 				if n > 1 || notRun[k] {
-					t.Fatalf("%s ran %d times, called not run: %t", k, n, notRun[k])
+					t.Fatalf("%s ran %d times, reported as not run: %t", k, n, notRun[k])
 				}
 			}
 			for c, n := range claimRuns {
@@ -78,7 +79,7 @@
 func TestClosedClaimStaysClosed(t *testing.T) {
 	l := New(clockwork.NewFakeClock(), incarnation, time.Hour)
 	offer := func(n uint64) Verdict {
-		return l.Offer(Offer{Key: key(1, n), Incarnation: incarnation, ClaimKey: "x", ClaimFor: time.Hour})
+		return l.Offer(Offer{Key: key(1, n), Incarnation: incarnation, ClaimKey: "x", ClaimRetention: time.Hour})
 	}
 	if v := offer(1); v.Action != ActionQueue || !l.Cancel(key(1, 1)) {
 		t.Fatalf("got %+v for the first offer", v)
@@ -88,11 +89,11 @@
 	}
 }
 
-func TestExpiryForgetsOldClaimsOnly(t *testing.T) {
+func TestExpireRemovesOnlyOldClaims(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	l := New(clock, incarnation, time.Hour)
-	l.Offer(Offer{Key: key(1, 1), Incarnation: incarnation, ClaimKey: "old", ClaimFor: time.Minute})
-	l.Offer(Offer{Key: key(1, 2), Incarnation: incarnation, ClaimKey: "young", ClaimFor: time.Hour})
+	l.Offer(Offer{Key: key(1, 1), Incarnation: incarnation, ClaimKey: "old", ClaimRetention: time.Minute})
+	l.Offer(Offer{Key: key(1, 2), Incarnation: incarnation, ClaimKey: "young", ClaimRetention: time.Hour})
 	clock.Advance(2 * time.Minute)
 	l.Expire()
 	if _, n := l.Size(); n != 1 {
@@ -103,10 +104,10 @@
 func ExampleLedger() {
 	l := New(clockwork.NewRealClock(), incarnation, time.Hour)
 	late := key(1, 7)
-	fmt.Println("given up before it came:", l.Cancel(late))
+	fmt.Println("cancelled before arrival:", l.Cancel(late))
 	v := l.Offer(Offer{Key: late, Incarnation: incarnation})
-	fmt.Println("when it comes:", v.Outcome, v.Reason)
+	fmt.Println("on arrival:", v.Outcome, v.Reason)
 	// Output:
-	// given up before it came: true
-	// when it comes: not_run cancelled
+	// cancelled before arrival: true
+	// on arrival: not_run cancelled
 }
--- a/ledger/main_test.go
+++ b/ledger/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the randomised tests unless one is given, so that every run says the same.
+// TestMain fixes the seed of the randomized tests unless one is given, so that runs are
+// reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/ledger/offer.go
+++ b/ledger/offer.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// Offer is what the ledger needs to know of a dispatch.
+// Offer holds the fields of a dispatch that the ledger needs.
 type Offer struct {
 	Key         Key
 	Incarnation uint64
 	Idempotent  bool
 	ClaimKey    string
 	ClaimDigest uint64
-	// ClaimFor is how long the claim must be remembered.
-	ClaimFor time.Duration
+	// ClaimRetention is how long the claim must be kept.
+	ClaimRetention time.Duration
 }
--- a/ledger/record.go
+++ b/ledger/record.go
@@ -1,6 +1,6 @@
 package ledger
 
-// record is one attempt; starts counts how often it was put to the upstream.
+// record is the state of one attempt; starts counts how often it was sent to the upstream.
 type record struct {
 	state      State
 	starts     int
--- a/ledger/session.go
+++ b/ledger/session.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// session holds one entry's attempts; all below floor are settled and refused when they come late.
+// session holds the attempts of one entry session. Attempts below floor are closed, and late
+// dispatches for them are refused.
 type session struct {
-	floor   uint64
-	records map[uint64]*record
-	seen    time.Time
+	floor    uint64
+	records  map[uint64]*record
+	lastSeen time.Time
 }
--- a/ledger/sessionshard.go
+++ b/ledger/sessionshard.go
@@ -10,13 +10,13 @@
 	sessions map[Session]*session
 }
 
-func (s *sessionShard) get(of Session, now time.Time) *session {
-	ses, ok := s.sessions[of]
+func (s *sessionShard) getOrCreate(id Session, now time.Time) *session {
+	ses, ok := s.sessions[id]
 	if !ok {
 		ses = &session{records: make(map[uint64]*record)}
-		s.sessions[of] = ses
+		s.sessions[id] = ses
 	}
-	ses.seen = now
+	ses.lastSeen = now
 	return ses
 }
 
@@ -28,12 +28,12 @@
 	return ses.records[k.N]
 }
 
-func (s *sessionShard) expire(old time.Time) {
+func (s *sessionShard) expire(cutoff time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for of, ses := range s.sessions {
-		if ses.seen.Before(old) {
-			delete(s.sessions, of)
+	for id, ses := range s.sessions {
+		if ses.lastSeen.Before(cutoff) {
+			delete(s.sessions, id)
 		}
 	}
 }
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -1,9 +1,9 @@
 package ledger
 
-// State is where an attempt stands; it only moves forward.
+// State is the state of an attempt; it only moves forward.
 type State uint8
 
-// The states of an attempt.
+// States of an attempt.
 const (
 	StateQueued State = iota + 1
 	StateRunning
--- a/peer/asker.go
+++ b/peer/asker.go
@@ -103,38 +103,38 @@
 
 // poll polls one peer until it is time to pick another or the link fails.
 func (p *Poller) poll(ctx context.Context, address string) {
-	l, err := wire.DialWithin(dialTimeout, address, p.Self, p.Key)
+	l, err := wire.DialTimeout(dialTimeout, address, p.Self, p.Key)
 	if err != nil {
 		p.Log.Debug("connecting to peer failed", "address", address, "error", err)
 		return
 	}
 	defer l.Close()
-	answers := make(chan *proto.News, 1)
+	answers := make(chan *proto.Update, 1)
 	go func() {
 		_ = l.Receive(func(f *proto.Frame) {
-			if f.News == nil {
+			if f.Update == nil {
 				return
 			}
 			select {
-			case answers <- f.News:
+			case answers <- f.Update:
 			case <-l.Done():
 			}
 		})
 	}()
-	last := &proto.News{}
+	last := &proto.Update{}
 	for range pollsPerPeer {
 		s := p.View.Now()
-		q := &proto.NewsAsk{
-			Rev:     s.Rev,
-			WaitMs:  pollWait.Milliseconds(),
-			Ends:    last.EndsUpTo,
-			Limits:  last.LimitsUpTo,
-			Leaving: last.LeavingUpTo,
+		q := &proto.UpdateRequest{
+			Rev:               s.Rev,
+			WaitMs:            pollWait.Milliseconds(),
+			TerminationsAfter: last.TerminationsUpTo,
+			LimitsAfter:       last.LimitsUpTo,
+			LeavingAfter:      last.LeavingUpTo,
 		}
 		if s.Table != nil {
 			q.Table = s.Table.Version
 		}
-		if l.Send(&proto.Frame{NewsAsk: q}) != nil {
+		if l.Send(&proto.Frame{UpdateRequest: q}) != nil {
 			return
 		}
 		timeout := time.NewTimer(pollWait + pollSlack)
@@ -155,10 +155,10 @@
 	}
 }
 
-func (p *Poller) apply(n *proto.News) {
+func (p *Poller) apply(n *proto.Update) {
 	// Terminations are merged before the snapshot: once a table is known, requests are sent, and
 	// those to be refused must be known by then.
-	p.Terminations.Merge(n.Ends)
+	p.Terminations.Merge(n.Terminations)
 	p.Quotas.Merge(n.Limits)
 	p.Leaving.Merge(n.Leaving)
 	s := &view.Snapshot{
--- a/peer/ends_test.go
+++ b/peer/ends_test.go
@@ -127,7 +127,7 @@
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
-			n := snapshotUpdate(snap, &proto.NewsAsk{Rev: tt.rev})
+			n := snapshotUpdate(snap, &proto.UpdateRequest{Rev: tt.rev})
 			if got := len(n.Instances) > 0 && len(n.Members) > 0; got != tt.lists || n.Newer != tt.lists {
 				t.Errorf("lists sent: %v, newer: %v; want %v", got, n.Newer, tt.lists)
 			}
@@ -160,12 +160,12 @@
 		Leaving:      n.leaving,
 		Log:          hclog.NewNullLogger(),
 	}
-	p.apply(&proto.News{
-		Rev:       7,
-		Newer:     true,
-		Table:     lo.Must(proto.Marshal(&plan.Table{Version: 1})),
-		Instances: lo.Must(proto.Marshal([]core.Instance{})),
-		Ends:      []crash.Termination{{Instance: "i-1"}},
+	p.apply(&proto.Update{
+		Rev:          7,
+		Newer:        true,
+		Table:        lo.Must(proto.Marshal(&plan.Table{Version: 1})),
+		Instances:    lo.Must(proto.Marshal([]core.Instance{})),
+		Terminations: []crash.Termination{{Instance: "i-1"}},
 	})
 	if o.merged != 1 || o.table || n.view.Now().Table == nil {
 		t.Errorf("%d terminations, table known before them: %v, table afterwards: %v", o.merged, o.table, n.view.Now().Table)
--- a/peer/server.go
+++ b/peer/server.go
@@ -29,14 +29,14 @@
 // Serve answers the polls of one peer until its link closes.
 func (s *Server) Serve(l *wire.Link) {
 	_ = l.Receive(func(f *proto.Frame) {
-		if f.NewsAsk != nil {
-			go s.answer(l, f.NewsAsk)
+		if f.UpdateRequest != nil {
+			go s.answer(l, f.UpdateRequest)
 		}
 	})
 }
 
 // answer holds a poll until there is an update for the peer or its wait time is over.
-func (s *Server) answer(l *wire.Link, ask *proto.NewsAsk) {
+func (s *Server) answer(l *wire.Link, ask *proto.UpdateRequest) {
 	timer := time.NewTimer(min(time.Duration(ask.WaitMs)*time.Millisecond, maxHold))
 	defer timer.Stop()
 	for {
@@ -44,14 +44,14 @@
 		limited, leaving := s.Quotas.Changed(), s.Leaving.Changed()
 		n, hasUpdate := s.update(ask)
 		if hasUpdate {
-			_ = l.Send(&proto.Frame{News: n})
+			_ = l.Send(&proto.Frame{Update: n})
 			return
 		}
 		select {
 		case <-l.Done():
 			return
 		case <-timer.C:
-			_ = l.Send(&proto.Frame{News: n})
+			_ = l.Send(&proto.Frame{Update: n})
 			return
 		case <-changed:
 		case <-ended:
@@ -62,19 +62,19 @@
 }
 
 // update returns what the peer lacks and reports whether there is anything.
-func (s *Server) update(ask *proto.NewsAsk) (n *proto.News, hasUpdate bool) {
+func (s *Server) update(ask *proto.UpdateRequest) (n *proto.Update, hasUpdate bool) {
 	snap := s.View.Now()
 	n = snapshotUpdate(snap, ask)
 	// These are read after the snapshot, so that they include everything that was read with it.
-	n.Ends, n.EndsUpTo = s.Terminations.Since(ask.Ends)
-	n.Limits, n.LimitsUpTo = s.Quotas.Since(ask.Limits)
-	n.Leaving, n.LeavingUpTo = s.Leaving.Since(ask.Leaving)
-	return n, n.Newer || len(n.Table) > 0 || len(n.Ends)+len(n.Limits)+len(n.Leaving) > 0
+	n.Terminations, n.TerminationsUpTo = s.Terminations.Since(ask.TerminationsAfter)
+	n.Limits, n.LimitsUpTo = s.Quotas.Since(ask.LimitsAfter)
+	n.Leaving, n.LeavingUpTo = s.Leaving.Since(ask.LeavingAfter)
+	return n, n.Newer || len(n.Table) > 0 || len(n.Terminations)+len(n.Limits)+len(n.Leaving) > 0
 }
 
 // snapshotUpdate returns the lists and the table of a snapshot if the peer lacks them.
-func snapshotUpdate(s *view.Snapshot, ask *proto.NewsAsk) *proto.News {
-	n := &proto.News{
+func snapshotUpdate(s *view.Snapshot, ask *proto.UpdateRequest) *proto.Update {
+	n := &proto.Update{
 		Rev:   s.Rev,
 		Newer: s.Rev > ask.Rev,
 	}
--- a/proto/answer.go
+++ b/proto/answer.go
@@ -4,7 +4,8 @@
 	"geraniumpass/core"
 )
 
-// Answer is one part of an attempt's answer; parts are numbered from 0 and the one marked Last ends it.
+// Answer is one part of an attempt's answer. Parts are numbered from 0, and the part with Last set
+// ends the answer.
 type Answer struct {
 	N       uint64   `cbor:"1,keyasint"`
 	Seq     uint32   `cbor:"2,keyasint"`
@@ -12,17 +13,17 @@
 	Status  int      `cbor:"4,keyasint,omitempty"`
 	Headers []Header `cbor:"5,keyasint,omitempty"`
 	Data    []byte   `cbor:"6,keyasint,omitempty"`
-	// Failed is set on a last part when the upstream was lost before its answer was whole.
+	// Failed is set on a last part when the upstream was lost before its answer was complete.
 	Failed core.Reason `cbor:"7,keyasint,omitempty"`
 }
 
-// Ack tells the agent that every part below Next has arrived.
+// Ack acknowledges every part below Next.
 type Ack struct {
 	N    uint64 `cbor:"1,keyasint"`
 	Next uint32 `cbor:"2,keyasint"`
 }
 
-// Resume asks on a new link for the parts of an attempt from Next on.
+// Resume requests an attempt's parts from Next on, on a new link.
 type Resume struct {
 	N    uint64 `cbor:"1,keyasint"`
 	Next uint32 `cbor:"2,keyasint"`
--- a/proto/codec.go
+++ b/proto/codec.go
@@ -11,26 +11,27 @@
 )
 
 const (
-	maxArray = 1 << 20
-	maxMap   = 1 << 16
-	maxNest  = 32
+	maxArrayElements = 1 << 20
+	maxMapPairs      = 1 << 16
+	maxNestedLevels  = 32
 )
 
 var (
 	encoder = lo.Must(cbor.CoreDetEncOptions().EncMode())
 	decoder = lo.Must(cbor.DecOptions{
-		MaxArrayElements: maxArray,
-		MaxMapPairs:      maxMap,
-		MaxNestedLevels:  maxNest,
+		MaxArrayElements: maxArrayElements,
+		MaxMapPairs:      maxMapPairs,
+		MaxNestedLevels:  maxNestedLevels,
 	}.DecMode())
 )
 
-// Encode appends the CBOR form of f to buf.
+// Encode appends the CBOR encoding of f to buf.
 func Encode(buf *bytes.Buffer, f *Frame) error {
 	return errs.Wrap(encoder.NewEncoder(buf).Encode(f))
 }
 
-// Decode calls fn for each frame of a message in order and returns the first error of decoding or of fn.
+// Decode calls fn for each frame of a message in order and returns the first error of decoding or
+// of fn.
 func Decode(message []byte, fn func(*Frame) error) error {
 	d := decoder.NewDecoder(bytes.NewReader(message))
 	for {
@@ -48,13 +49,13 @@
 	}
 }
 
-// Marshal returns the CBOR form of v, for values that travel inside a frame.
+// Marshal returns the CBOR encoding of v.
 func Marshal(v any) ([]byte, error) {
 	b, err := encoder.Marshal(v)
 	return b, errs.Wrap(err)
 }
 
-// Unmarshal reads the CBOR form of v.
+// Unmarshal decodes CBOR into v.
 func Unmarshal(b []byte, v any) error {
 	return errs.Wrap(decoder.Unmarshal(b, v))
 }
--- a/proto/dispatch.go
+++ b/proto/dispatch.go
@@ -4,7 +4,7 @@
 	"time"
 )
 
-// Dispatch hands one attempt of a request to an agent; N is unique within the entry's incarnation.
+// Dispatch sends one attempt of a request to an agent. N is unique within the entry's incarnation.
 type Dispatch struct {
 	N           uint64        `cbor:"1,keyasint"`
 	Incarnation uint64        `cbor:"2,keyasint"`
@@ -23,10 +23,11 @@
 	TargetLeft  time.Duration `cbor:"15,keyasint"`
 	ResumeFrom  uint32        `cbor:"16,keyasint,omitempty"`
 	Cost        float64       `cbor:"17,keyasint,omitempty"`
-	// Within is the time that the class's target allows.
+	// Within is the time allowed by the target of the request's class.
 	Within time.Duration `cbor:"19,keyasint,omitempty"`
-	// ClaimFor is how long the claim and its answer must be kept.
-	ClaimFor time.Duration `cbor:"18,keyasint,omitempty"`
-	// Sent is when this was sent on the sender's steady clock, from a moment of its own; zero where it doesn't say.
+	// ClaimRetention is how long the claim and its answer must be kept.
+	ClaimRetention time.Duration `cbor:"18,keyasint,omitempty"`
+	// Sent is the send time on the sender's monotonic clock, which has an arbitrary origin, or zero
+	// if not reported.
 	Sent time.Duration `cbor:"20,keyasint,omitempty"`
 }
--- a/proto/doc.go
+++ b/proto/doc.go
@@ -1,2 +1,3 @@
-// Package proto defines the messages between this system's own processes as plain data.
+// Package proto defines the messages between the system's processes as plain data types with a CBOR
+// encoding.
 package proto
--- a/proto/header.go
+++ b/proto/header.go
@@ -11,7 +11,7 @@
 	Value string `cbor:"2,keyasint"`
 }
 
-// Headers takes the fields of a head over, without those whose name in lower case is in skip.
+// Headers copies header fields, except those whose lower-case name is in skip.
 func Headers(fields iter.Seq2[[]byte, []byte], skip map[string]bool) []Header {
 	var out []Header
 	for k, v := range fields {
--- a/proto/header_test.go
+++ b/proto/header_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestHeadersKeepsOrderAndLeavesOutWhatIsSkipped(t *testing.T) {
+func TestHeadersKeepsOrderAndOmitsSkipped(t *testing.T) {
 	fields := func(yield func(name, value []byte) bool) {
 		for _, f := range [][2]string{{"X-Echo", "one"}, {"Keep-Alive", "timeout=5"}, {"x-echo", "two"}, {"Empty", ""}} {
 			if !yield([]byte(f[0]), []byte(f[1])) {
--- a/proto/order.go
+++ b/proto/order.go
@@ -1,9 +1,9 @@
 package proto
 
-// OrderKind is a step of the expert-map switch.
+// OrderKind is a phase of the expert-map switch.
 type OrderKind string
 
-// The orders of a switch; Inquire changes nothing but the fence.
+// Orders of a switch. OrderInquire changes no state except the fence.
 const (
 	OrderInquire OrderKind = "inquire"
 	OrderStage   OrderKind = "stage"
@@ -12,7 +12,7 @@
 	OrderGrant   OrderKind = "grant"
 )
 
-// Order is an instruction of a group's leader to one rank.
+// Order is an instruction from a group's leader to one rank.
 type Order struct {
 	Incarnation uint64    `cbor:"1,keyasint"`
 	Fence       uint64    `cbor:"2,keyasint"`
@@ -21,11 +21,12 @@
 	Version     uint64    `cbor:"5,keyasint,omitempty"`
 	Step        uint64    `cbor:"6,keyasint,omitempty"`
 	Map         []byte    `cbor:"7,keyasint,omitempty"`
-	// Full asks an inquired rank for its map and the popularity of experts as well, which are large.
+	// Full requests the rank's map and expert token counts, which are large, in reply to an
+	// inquiry.
 	Full bool `cbor:"8,keyasint,omitempty"`
 }
 
-// OrderReply is a rank's answer to the order with the same fence and sequence number.
+// OrderReply answers the order with the same fence and sequence number.
 type OrderReply struct {
 	Incarnation uint64    `cbor:"1,keyasint"`
 	Fence       uint64    `cbor:"2,keyasint"`
@@ -36,7 +37,8 @@
 	Rank        RankState `cbor:"7,keyasint"`
 }
 
-// RankState is what a rank holds: the map it steps under, the next step, and the cap and grant of a switch.
+// RankState is the state of a rank: its current map, its next step, and the cap and grant of a
+// switch.
 type RankState struct {
 	Version   uint64 `cbor:"1,keyasint" json:"version"`
 	Step      uint64 `cbor:"2,keyasint" json:"step"`
@@ -49,6 +51,6 @@
 	Staged    uint64 `cbor:"9,keyasint,omitempty" json:"staged"`
 	// Tokens is the smoothed token count of each expert on this rank since the last report.
 	Tokens []float64 `cbor:"10,keyasint,omitempty" json:"tokens,omitempty"`
-	// Map is the current placement, one rank list per expert, in the engine's own encoding.
+	// Map is the current placement, one list of ranks per expert, in the engine's own encoding.
 	Map []byte `cbor:"11,keyasint,omitempty" json:"map,omitempty"`
 }
--- a/proto/refused.go
+++ b/proto/refused.go
@@ -6,17 +6,19 @@
 	"geraniumpass/core"
 )
 
-// Cancel gives up an attempt; the agent answers with Refused when it had not run.
+// Cancel cancels an attempt; the agent answers with Refused if the attempt has not run.
 type Cancel struct {
 	N uint64 `cbor:"1,keyasint"`
 }
 
-// Refused says of an attempt that it did not run and will not, or, with OutcomeUnknown, that the agent cannot tell.
+// Refused reports that an attempt did not run and never will or, with OutcomeUnknown, that the
+// agent cannot determine whether it ran.
 type Refused struct {
 	N          uint64        `cbor:"1,keyasint"`
 	Outcome    core.Outcome  `cbor:"2,keyasint"`
 	Reason     core.Reason   `cbor:"3,keyasint"`
 	RetryAfter time.Duration `cbor:"4,keyasint,omitempty"`
-	// ClaimClosed promises that the attempt's claim will never run here, so that it may be moved.
+	// ClaimClosed guarantees that the attempt's claim will never run at this agent, so it may move
+	// to another.
 	ClaimClosed bool `cbor:"5,keyasint,omitempty"`
 }
--- a/wire/doc.go
+++ b/wire/doc.go
@@ -1,2 +1,3 @@
-// Package wire carries the messages between this system's own processes as CBOR over WebSocket.
+// Package wire carries CBOR-encoded messages between the system's processes over authenticated
+// WebSocket links.
 package wire
--- a/wire/hello.go
+++ b/wire/hello.go
@@ -14,18 +14,18 @@
 )
 
 const (
-	nonceSize        = 16
+	nonceBytes       = 16
 	handshakeTimeout = 5 * time.Second
 )
 
-// The roles that a link's peer may have; a link of RoleExchange carries only the configuration.
+// Roles of a link's peer. A link with RoleExchange only carries configuration.
 const (
 	RoleEntry    = "entry"
 	RoleAgent    = "agent"
 	RoleExchange = "exchange"
 )
 
-// Identity names a process and its incarnation, which is drawn anew at every start.
+// Identity identifies a process and its incarnation, a random number drawn at every start.
 type Identity struct {
 	ID          string `cbor:"1,keyasint"`
 	Role        string `cbor:"2,keyasint"`
@@ -39,24 +39,25 @@
 	Proof    []byte   `cbor:"3,keyasint,omitempty"`
 }
 
-// AuthError is returned when the other side does not prove that it holds the link key.
+// AuthError is returned when the peer does not prove that it holds the link key.
 type AuthError struct {
 	Peer string
 }
 
-// Error names the peer that failed the proof.
+// Error names the peer that failed authentication.
 func (e *AuthError) Error() string {
-	return "link peer " + e.Peer + " did not prove the link key"
+	return "link peer " + e.Peer + " failed link key authentication"
 }
 
-// NewIncarnation draws a random incarnation number.
+// NewIncarnation returns a random incarnation number.
 func NewIncarnation() uint64 {
 	var b [8]byte
 	_, _ = rand.Read(b[:])
 	return binary.BigEndian.Uint64(b[:]) >> 1
 }
 
-// side is the end of a link that a proof is of; without it one end's proof could be sent back to it as the other's.
+// side is the end of a link that computed a proof. Including it in the proof prevents reflecting
+// one end's proof back to it.
 type side byte
 
 const (
@@ -64,19 +65,19 @@
 	sideAccepted side = 'a'
 )
 
-func (s side) other() side {
+func (s side) opposite() side {
 	if s == sideDialled {
 		return sideAccepted
 	}
 	return sideDialled
 }
 
-func proof(key, nonce []byte, who Identity, of side) []byte {
+func proof(key, nonce []byte, identity Identity, from side) []byte {
 	m := hmac.New(sha256.New, key)
-	m.Write([]byte{byte(of)})
+	m.Write([]byte{byte(from)})
 	m.Write(nonce)
-	m.Write([]byte(who.Role + "|" + who.ID + "|" + who.Domain))
-	_ = binary.Write(m, binary.BigEndian, who.Incarnation)
+	m.Write([]byte(identity.Role + "|" + identity.ID + "|" + identity.Domain))
+	_ = binary.Write(m, binary.BigEndian, identity.Incarnation)
 	return m.Sum(nil)
 }
 
@@ -97,12 +98,13 @@
 	return h, errs.Wrap(proto.Unmarshal(b, &h))
 }
 
-// shake runs the mutual proof: both send a nonce, then both answer the other's nonce.
-func shake(c *websocket.Conn, own Identity, key []byte, mine side) (Identity, error) {
+// handshake authenticates both sides: each sends a nonce, then answers the other's nonce with an
+// HMAC under the link key.
+func handshake(c *websocket.Conn, own Identity, key []byte, local side) (Identity, error) {
 	deadline := time.Now().Add(handshakeTimeout)
 	_ = c.SetReadDeadline(deadline)
 	_ = c.SetWriteDeadline(deadline)
-	nonce := make([]byte, nonceSize)
+	nonce := make([]byte, nonceBytes)
 	_, _ = rand.Read(nonce)
 	if err := sendHello(c, hello{Identity: own, Nonce: nonce}); err != nil {
 		return Identity{}, err
@@ -111,14 +113,14 @@
 	if err != nil {
 		return Identity{}, err
 	}
-	if err := sendHello(c, hello{Identity: own, Proof: proof(key, peer.Nonce, own, mine)}); err != nil {
+	if err := sendHello(c, hello{Identity: own, Proof: proof(key, peer.Nonce, own, local)}); err != nil {
 		return Identity{}, err
 	}
 	answer, err := readHello(c)
 	if err != nil {
 		return Identity{}, err
 	}
-	if !hmac.Equal(answer.Proof, proof(key, nonce, answer.Identity, mine.other())) || answer.Identity != peer.Identity {
+	if !hmac.Equal(answer.Proof, proof(key, nonce, answer.Identity, local.opposite())) || answer.Identity != peer.Identity {
 		return Identity{}, &AuthError{Peer: peer.Identity.ID}
 	}
 	_ = c.SetReadDeadline(time.Time{})
--- a/wire/hello_test.go
+++ b/wire/hello_test.go
@@ -11,8 +11,8 @@
 
 const testKey = "key-for-links-in-tests"
 
-// accepting serves links and hands the error or the link of each on.
-func accepting(t *testing.T, opened chan<- Identity) string {
+// serveLinks accepts links and sends the peer identity of each to opened.
+func serveLinks(t *testing.T, opened chan<- Identity) string {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -31,7 +31,7 @@
 
 func TestWrongKeyOpensNoLink(t *testing.T) {
 	opened := make(chan Identity, 1)
-	address := accepting(t, opened)
+	address := serveLinks(t, opened)
 	_, err := Dial(address, Identity{ID: "entry", Role: RoleEntry}, []byte("another key altogether"))
 	var auth *AuthError
 	if !errors.As(err, &auth) {
@@ -47,10 +47,11 @@
 	}
 }
 
-// TestReflectedProofOpensNoLink sends an agent its own nonce and identity, and then its own proof, without knowing the key.
+// TestReflectedProofOpensNoLink guards against a reflection attack: a peer without the key returns
+// the agent's own nonce and identity, and then its own proof.
 func TestReflectedProofOpensNoLink(t *testing.T) {
 	opened := make(chan Identity, 1)
-	c, resp, err := websocket.DefaultDialer.Dial("ws://"+accepting(t, opened)+"/link", nil)
+	c, resp, err := websocket.DefaultDialer.Dial("ws://"+serveLinks(t, opened)+"/link", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -73,11 +74,11 @@
 		closed <- err
 	}()
 	select {
-	case who := <-opened:
-		t.Errorf("a link to %+v was opened without the key", who)
+	case identity := <-opened:
+		t.Errorf("link to %+v opened without the key", identity)
 	case err := <-closed:
 		if err == nil {
-			t.Error("the agent went on after its own proof came back")
+			t.Error("the agent accepted its own reflected proof")
 		}
 	}
 }
--- a/wire/link.go
+++ b/wire/link.go
@@ -15,24 +15,26 @@
 )
 
 const (
-	// sendQueue bounds the frames that wait for a slow peer; a fuller queue closes the link, and resuming repairs it.
-	sendQueue = 4096
-	// batchBytes is the size at which a message of several frames is sent off.
+	// sendQueueFrames bounds the frames queued for a slow peer. A full queue closes the link; a
+	// resume on the next link recovers the lost frames.
+	sendQueueFrames = 4096
+	// batchBytes is the size at which a batch of frames is sent.
 	batchBytes = 64 << 10
-	// maxMessage is the largest message that is read.
-	maxMessage   = 16 << 20
-	writeTimeout = 5 * time.Second
-	readTimeout  = 5 * time.Second
+	// maxMessageBytes is the size limit of a received message.
+	maxMessageBytes = 16 << 20
+	writeTimeout    = 5 * time.Second
+	readTimeout     = 5 * time.Second
 )
 
-// sentBytes and receivedBytes count the payload of all links of the process, work and control together.
+// sentBytes and receivedBytes count the message payload, and sentFrames the frames, of all links of
+// the process.
 var (
 	sentBytes     = expvar.NewInt("link_bytes_sent")
 	receivedBytes = expvar.NewInt("link_bytes_received")
 	sentFrames    = expvar.NewInt("link_frames_sent")
 )
 
-// ClosedError is returned by Send on a link that has ended or whose peer is too slow.
+// ClosedError is returned by Send when the link is closed or its send queue is full.
 type ClosedError struct {
 	Peer string
 }
@@ -42,26 +44,26 @@
 	return "link to " + e.Peer + " is closed"
 }
 
-// Link is an authenticated connection to one peer; Send may be called from any goroutine.
+// Link is an authenticated connection to one peer; Send is safe for concurrent use.
 type Link struct {
 	Peer Identity
 	conn *websocket.Conn
 	out  chan *proto.Frame
 	done chan struct{}
-	// written is closed when the writer has let go of the connection.
-	written  chan struct{}
-	once     sync.Once
-	lastSeen atomic.Int64
-	pending  atomic.Int64
+	// writerDone is closed when the writer no longer uses the connection.
+	writerDone chan struct{}
+	once       sync.Once
+	lastSeen   atomic.Int64
+	pending    atomic.Int64
 }
 
-// Dial opens a link to address, a host and port, and proves key to the peer.
+// Dial opens a link to address, a host and port, and authenticates both sides with key.
 func Dial(address string, own Identity, key []byte) (*Link, error) {
-	return DialWithin(handshakeTimeout, address, own, key)
+	return DialTimeout(handshakeTimeout, address, own, key)
 }
 
-// DialWithin is Dial for peers that are not worth waiting for longer than timeout.
-func DialWithin(timeout time.Duration, address string, own Identity, key []byte) (*Link, error) {
+// DialTimeout is like Dial with a timeout for opening the connection.
+func DialTimeout(timeout time.Duration, address string, own Identity, key []byte) (*Link, error) {
 	d := websocket.Dialer{
 		HandshakeTimeout: timeout,
 		ReadBufferSize:   16 << 10,
@@ -74,10 +76,11 @@
 	if resp != nil && resp.Body != nil {
 		_ = resp.Body.Close()
 	}
-	return start(c, own, key, sideDialled)
+	return startLink(c, own, key, sideDialled)
 }
 
-// Accept upgrades a request, proves the key and calls fn with the link; it is closed when fn returns.
+// Accept upgrades a request, authenticates both sides and calls fn with the link, which it closes
+// when fn returns.
 func Accept(ctx *fasthttp.RequestCtx, own Identity, key []byte, fn func(*Link)) error {
 	u := websocket.FastHTTPUpgrader{
 		ReadBufferSize:  16 << 10,
@@ -85,39 +88,41 @@
 		CheckOrigin:     func(*fasthttp.RequestCtx) bool { return true },
 	}
 	return errs.Wrap(u.Upgrade(ctx, func(c *websocket.Conn) {
-		l, err := start(c, own, key, sideAccepted)
+		l, err := startLink(c, own, key, sideAccepted)
 		if err != nil {
 			return
 		}
-		// The server reuses the connection's memory once this returns, so that the writer must have let go of it.
+		// The server reuses the connection's memory after this returns, so the writer must have
+		// stopped using it.
 		defer func() {
 			l.Close()
-			<-l.written
+			<-l.writerDone
 		}()
 		fn(l)
 	}))
 }
 
-func start(c *websocket.Conn, own Identity, key []byte, mine side) (*Link, error) {
-	c.SetReadLimit(maxMessage)
-	peer, err := shake(c, own, key, mine)
+func startLink(c *websocket.Conn, own Identity, key []byte, local side) (*Link, error) {
+	c.SetReadLimit(maxMessageBytes)
+	peer, err := handshake(c, own, key, local)
 	if err != nil {
 		_ = c.Close()
 		return nil, err
 	}
 	l := &Link{
-		Peer:    peer,
-		conn:    c,
-		out:     make(chan *proto.Frame, sendQueue),
-		done:    make(chan struct{}),
-		written: make(chan struct{}),
+		Peer:       peer,
+		conn:       c,
+		out:        make(chan *proto.Frame, sendQueueFrames),
+		done:       make(chan struct{}),
+		writerDone: make(chan struct{}),
 	}
 	l.lastSeen.Store(time.Now().UnixNano())
 	go l.write()
 	return l, nil
 }
 
-// Send queues a frame and fails with a *ClosedError when the link has ended or its queue is full.
+// Send queues a frame. It fails with a *ClosedError when the link is closed or its queue is full; a
+// full queue closes the link.
 func (l *Link) Send(f *proto.Frame) error {
 	select {
 	case <-l.done:
@@ -136,7 +141,8 @@
 	}
 }
 
-// Receive reads frames and calls fn for each until the link ends; a peer silent for five seconds ends it.
+// Receive calls fn for each received frame until the link is closed. A peer silent for readTimeout
+// (5 s) closes it.
 func (l *Link) Receive(fn func(*proto.Frame)) error {
 	defer l.Close()
 	for {
@@ -157,17 +163,17 @@
 	}
 }
 
-// Silence returns how long ago the peer was last heard.
-func (l *Link) Silence() time.Duration {
+// SinceLastReceive returns the time since the last message from the peer.
+func (l *Link) SinceLastReceive() time.Duration {
 	return time.Since(time.Unix(0, l.lastSeen.Load()))
 }
 
-// Done is closed when the link has ended.
+// Done returns a channel that is closed when the link is closed.
 func (l *Link) Done() <-chan struct{} {
 	return l.done
 }
 
-// Flush waits until every frame queued so far is handed to the network, or until timeout.
+// Flush waits until every frame queued so far has been written to the network, or until timeout.
 func (l *Link) Flush(timeout time.Duration) {
 	end := time.Now().Add(timeout)
 	for l.pending.Load() > 0 && time.Now().Before(end) {
@@ -179,7 +185,7 @@
 	}
 }
 
-// Close ends the link.
+// Close closes the link.
 func (l *Link) Close() {
 	l.once.Do(func() {
 		close(l.done)
@@ -188,7 +194,7 @@
 }
 
 func (l *Link) write() {
-	defer close(l.written)
+	defer close(l.writerDone)
 	defer l.Close()
 	var buf bytes.Buffer
 	for {
@@ -213,7 +219,8 @@
 	}
 }
 
-// batch encodes f and whatever else is already queued, so that a burst costs one write, and returns the number of frames.
+// batch encodes f and all frames already queued, up to batchBytes, so that a burst costs one write,
+// and returns the number of frames.
 func (l *Link) batch(buf *bytes.Buffer, f *proto.Frame) (int64, error) {
 	for n := int64(1); ; n++ {
 		if err := proto.Encode(buf, f); err != nil {
