--- a/chaos/doc.go
+++ b/chaos/doc.go
@@ -1,2 +1,3 @@
-// Package chaos breaks a running deployment at random, from a seed, while callers and operators go on, and checks what must always hold.
+// Package chaos injects random faults from a seed into a running deployment, while callers and
+// operators continue to send requests, and checks its invariants.
 package chaos
--- a/chaos/events.go
+++ b/chaos/events.go
@@ -10,22 +10,22 @@
 	"geraniumpass/stand"
 )
 
-// breakSomething does one random harm, lets it last, and undoes it.
-func (r *run) breakSomething() {
-	harms := []func(lasts time.Duration){
-		r.killEntry, r.killAgent, r.freezeAgent, r.freezeEntry, r.cutAgent, r.holdAgent, r.outage, r.loseAnswers, r.endLeases, r.stopAgent, r.cutDomain, r.twoAtOnce,
+// injectFault injects a random fault for a random time and reverts it, then waits as long.
+func (r *run) injectFault() {
+	faults := []func(duration time.Duration){
+		r.killEntry, r.killAgent, r.freezeAgent, r.freezeEntry, r.cutLink, r.stallLinkDirection, r.storeOutage, r.loseStoreReplies, r.expireLeases, r.stopAgent, r.cutDomain, r.killDuringOutage,
 	}
-	lasts := time.Duration((0.5 + r.random.Float64()) * float64(r.opt.Pause))
-	harms[r.random.IntN(len(harms))](lasts)
-	time.Sleep(lasts)
+	duration := time.Duration((0.5 + r.random.Float64()) * float64(r.opts.Pause))
+	faults[r.random.IntN(len(faults))](duration)
+	time.Sleep(duration)
 }
 
-func (r *run) anAgent() *deploy.Process {
+func (r *run) randomAgent() *deploy.Process {
 	ids := sorted(lo.Keys(r.d.Agents))
 	return r.d.Agents[ids[r.random.IntN(len(ids))]]
 }
 
-func (r *run) anEntry() *deploy.Process {
+func (r *run) randomEntry() *deploy.Process {
 	return r.d.Entries[r.random.IntN(len(r.d.Entries))]
 }
 
@@ -34,102 +34,103 @@
 		return
 	}
 	if err := p.Restart(); err != nil {
-		r.finding("%s did not start again: %v", p.ID, err)
+		r.addFinding("%s failed to restart: %v", p.ID, err)
 	}
 }
 
-func (r *run) killEntry(lasts time.Duration) {
-	r.kill(r.anEntry(), lasts)
+func (r *run) killEntry(duration time.Duration) {
+	r.kill(r.randomEntry(), duration)
 }
 
-func (r *run) killAgent(lasts time.Duration) {
-	r.kill(r.anAgent(), lasts)
+func (r *run) killAgent(duration time.Duration) {
+	r.kill(r.randomAgent(), duration)
 }
 
-func (r *run) kill(p *deploy.Process, lasts time.Duration) {
-	r.note("kill %s for %s", p.ID, lasts)
+func (r *run) kill(p *deploy.Process, duration time.Duration) {
+	r.logEvent("kill %s for %s", p.ID, duration)
 	p.Kill()
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	r.restart(p)
 }
 
-func (r *run) stopAgent(lasts time.Duration) {
-	p := r.anAgent()
-	r.note("stop %s", p.ID)
+func (r *run) stopAgent(duration time.Duration) {
+	p := r.randomAgent()
+	r.logEvent("stop %s", p.ID)
 	if !p.StopWithin(20 * time.Second) {
-		r.finding("%s did not stop in time", p.ID)
+		r.addFinding("%s did not stop within its timeout", p.ID)
 	}
-	time.Sleep(lasts / 4)
+	time.Sleep(duration / 4)
 	r.restart(p)
 }
 
-func (r *run) freezeAgent(lasts time.Duration) {
-	r.freeze(r.anAgent(), 2*lasts)
+func (r *run) freezeAgent(duration time.Duration) {
+	r.freeze(r.randomAgent(), 2*duration)
 }
 
-func (r *run) freezeEntry(lasts time.Duration) {
-	r.freeze(r.anEntry(), 2*lasts)
+func (r *run) freezeEntry(duration time.Duration) {
+	r.freeze(r.randomEntry(), 2*duration)
 }
 
-func (r *run) freeze(p *deploy.Process, lasts time.Duration) {
-	r.note("freeze %s for %s", p.ID, lasts)
+func (r *run) freeze(p *deploy.Process, duration time.Duration) {
+	r.logEvent("freeze %s for %s", p.ID, duration)
 	p.Suspend()
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	p.Resume()
 }
 
-func (r *run) aRelay() (*stand.Relay, string) {
+func (r *run) randomRelay() (*stand.Relay, string) {
 	domain := r.d.Plan.Domains[r.random.IntN(len(r.d.Plan.Domains))]
 	id := sorted(lo.Keys(r.d.AgentRelays[domain]))[r.random.IntN(len(r.d.AgentRelays[domain]))]
 	return r.d.AgentRelays[domain][id], domain + " to " + id
 }
 
-func (r *run) cutAgent(lasts time.Duration) {
-	relay, name := r.aRelay()
-	r.note("cut %s for %s", name, lasts)
+func (r *run) cutLink(duration time.Duration) {
+	relay, name := r.randomRelay()
+	r.logEvent("cut %s for %s", name, duration)
 	relay.Set(stand.Break{Cut: true})
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	relay.Set(stand.Break{})
 }
 
-func (r *run) holdAgent(lasts time.Duration) {
-	relay, name := r.aRelay()
+func (r *run) stallLinkDirection(duration time.Duration) {
+	relay, name := r.randomRelay()
 	back := r.random.IntN(2) == 0
-	r.note("hold one direction (back: %t) of %s for %s", back, name, 2*lasts)
+	r.logEvent("stall one direction (reverse: %t) of %s for %s", back, name, 2*duration)
 	relay.Set(stand.Break{
 		HoldBack:    back,
 		HoldForward: !back,
 	})
-	time.Sleep(2 * lasts)
+	time.Sleep(2 * duration)
 	relay.Set(stand.Break{})
 }
 
-func (r *run) outage(lasts time.Duration) {
-	r.note("key-value service down for %s", 2*lasts)
+func (r *run) storeOutage(duration time.Duration) {
+	r.logEvent("key-value service down for %s", 2*duration)
 	r.d.KeyValue.SetFault(stand.Fault{Down: true})
-	time.Sleep(2 * lasts)
+	time.Sleep(2 * duration)
 	r.d.KeyValue.SetFault(stand.Fault{})
 }
 
-func (r *run) loseAnswers(lasts time.Duration) {
-	r.note("key-value service loses answers for %s", lasts)
+func (r *run) loseStoreReplies(duration time.Duration) {
+	r.logEvent("key-value service loses responses for %s", duration)
 	r.d.KeyValue.SetFault(stand.Fault{LoseAnswers: true})
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	r.d.KeyValue.SetFault(stand.Fault{})
 }
 
-// longestPause is what a paused holder's leases may have lapsed by; those that nobody renews, of claims, last far longer.
-const longestPause = time.Minute
+// maxHolderPause is the simulated pause of lease holders: all renewed leases expire. The leases of
+// claims, which are not renewed, last far longer.
+const maxHolderPause = time.Minute
 
-func (r *run) endLeases(time.Duration) {
-	r.note("every lease that is renewed lapses")
-	r.d.KeyValue.EndLeases(longestPause)
+func (r *run) expireLeases(time.Duration) {
+	r.logEvent("expire every renewed lease")
+	r.d.KeyValue.EndLeases(maxHolderPause)
 }
 
-// cutDomain parts a failure domain from the platform and from the agents of the others.
-func (r *run) cutDomain(lasts time.Duration) {
+// cutDomain isolates a failure domain from the platform and from the agents of other domains.
+func (r *run) cutDomain(duration time.Duration) {
 	domain := r.d.Plan.Domains[r.random.IntN(len(r.d.Plan.Domains))]
-	r.note("cut %s off for %s", domain, 2*lasts)
+	r.logEvent("isolate %s for %s", domain, 2*duration)
 	set := func(b stand.Break) {
 		r.d.StoreRelays[domain].Set(b)
 		for id, relay := range r.d.AgentRelays[domain] {
@@ -139,37 +140,37 @@
 		}
 	}
 	set(stand.Break{Cut: true})
-	time.Sleep(2 * lasts)
+	time.Sleep(2 * duration)
 	set(stand.Break{})
 }
 
-// twoAtOnce kills an agent and an entry during an outage of the platform.
-func (r *run) twoAtOnce(lasts time.Duration) {
-	a, e := r.anAgent(), r.anEntry()
-	r.note("kill %s and %s in an outage for %s", a.ID, e.ID, lasts)
+// killDuringOutage kills an agent and an entry during an outage of the key-value service.
+func (r *run) killDuringOutage(duration time.Duration) {
+	a, e := r.randomAgent(), r.randomEntry()
+	r.logEvent("kill %s and %s during a key-value service outage of more than %s", a.ID, e.ID, duration)
 	r.d.KeyValue.SetFault(stand.Fault{Down: true})
 	a.Kill()
 	e.Kill()
-	time.Sleep(lasts / 2)
+	time.Sleep(duration / 2)
 	r.restart(a)
 	r.restart(e)
-	time.Sleep(lasts)
+	time.Sleep(duration)
 	r.d.KeyValue.SetFault(stand.Fault{})
 }
 
-// heal waits until everything can be used again.
-func (r *run) heal() {
+// waitHealthy waits until all entries are ready and every agent is usable from each of them.
+func (r *run) waitHealthy() {
 	for i, p := range r.d.Entries {
 		if err := r.d.WaitEntry(p, "/readyz"); err != nil {
-			r.finding("%v", err)
+			r.addFinding("%v", err)
 		}
 		if err := r.d.WaitUsable(i, len(r.d.Agents)); err != nil {
-			r.finding("%v", err)
+			r.addFinding("%v", err)
 		}
 	}
 }
 
-// sorted puts the keys of a map in an order, which is no part of the seed otherwise.
+// sorted sorts map keys in place, so that random choices depend only on the seed.
 func sorted(ids []string) []string {
 	sort.Strings(ids)
 	return ids
--- a/chaos/load.go
+++ b/chaos/load.go
@@ -14,8 +14,9 @@
 	longAnswer  = 150
 )
 
-// call sends requests of every kind until the run ends; each keyed call is sent twice, through two entries.
-func (r *run) call(sender int) {
+// sendRequests sends requests of every kind until the run ends. Each request with an idempotency
+// key is sent twice, through two entries.
+func (r *run) sendRequests(sender int) {
 	model, plain := r.services()
 	keys := make([]string, 0, len(r.d.Plan.Keys))
 	for _, k := range r.d.Plan.Keys {
@@ -32,26 +33,26 @@
 			Timeout: callTimeout,
 		}
 		probe := fmt.Sprintf("soak-%d-%d", sender, n)
-		c.Entry = r.entry(sender + n)
+		c.Entry = r.entryAddress(sender + n)
 		switch n % 5 {
 		case 0:
 			c.Label = "lookup"
-			r.keep(probe, false, c.Completion(model, probe, shortAnswer, false, probe))
+			r.record(probe, false, c.Completion(model, probe, shortAnswer, false, probe))
 		case 1:
-			r.keep(probe, false, c.Completion(model, probe, longAnswer, true, probe))
+			r.record(probe, false, c.Completion(model, probe, longAnswer, true, probe))
 		case 2:
-			r.keep(probe, false, c.Plain("GET", plain, "/status?ms=5", nil, probe, ""))
+			r.record(probe, false, c.Plain("GET", plain, "/status?ms=5", nil, probe, ""))
 		case 3:
-			r.keep(probe, true, c.Plain("POST", plain, "/book?ms=30", []byte(probe), probe, ""))
+			r.record(probe, true, c.Plain("POST", plain, "/book?ms=30", []byte(probe), probe, ""))
 		case 4:
-			r.keep(probe, true, c.Plain("POST", plain, "/book?ms=30", []byte(probe), probe, probe))
-			c.Entry = r.entry(sender + n + 1)
-			r.keep(probe, true, c.Plain("POST", plain, "/book?ms=30", []byte(probe), probe, probe))
+			r.record(probe, true, c.Plain("POST", plain, "/book?ms=30", []byte(probe), probe, probe))
+			c.Entry = r.entryAddress(sender + n + 1)
+			r.record(probe, true, c.Plain("POST", plain, "/book?ms=30", []byte(probe), probe, probe))
 		}
 	}
 }
 
-func (r *run) entry(n int) string {
+func (r *run) entryAddress(n int) string {
 	return r.d.Entries[n%len(r.d.Entries)].Listen
 }
 
@@ -66,11 +67,11 @@
 	return model, plain
 }
 
-func (r *run) keep(probe string, once bool, res caller.Result) {
+func (r *run) record(probe string, atMostOnce bool, res caller.Result) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.results[probe] = append(r.results[probe], res.Verdict)
-	r.once[probe] = once
+	r.atMostOnce[probe] = atMostOnce
 	r.counts[res.Verdict]++
 	if res.Verdict == caller.Wrong {
 		r.findings = append(r.findings, probe+": "+res.Detail)
--- a/chaos/operator.go
+++ b/chaos/operator.go
@@ -9,24 +9,24 @@
 	"geraniumpass/entry"
 )
 
-// acceptedChange is a change that an entry has called accepted.
+// acceptedChange is a configuration change that an entry has accepted.
 type acceptedChange struct {
 	id       string
 	revision uint64
 }
 
 const (
-	changePause = 150 * time.Millisecond
-	wholeTime   = 40 * time.Second
+	changeInterval  = 150 * time.Millisecond
+	convergeTimeout = 40 * time.Second
 )
 
-// operate changes a target again and again and remembers what was accepted.
-func (r *run) operate() {
+// changeTargets changes a target periodically and records the accepted changes.
+func (r *run) changeTargets() {
 	for n := 0; ; n++ {
 		select {
 		case <-r.stop:
 			return
-		case <-time.After(changePause):
+		case <-time.After(changeInterval):
 		}
 		c := r.d.Operator(n % len(r.d.Entries))
 		doc, err := c.Config()
@@ -57,13 +57,14 @@
 	}
 }
 
-// checkTrail waits until every entry holds the newest accepted revision and looks for every accepted change in the trail.
-func (r *run) checkTrail() {
+// checkAuditTrail waits until every entry has the newest accepted revision and checks that the
+// audit trail contains every accepted change.
+func (r *run) checkAuditTrail() {
 	newest := uint64(0)
 	for _, a := range r.accepted {
 		newest = max(newest, a.revision)
 	}
-	err := deploy.Until("every entry to hold the newest accepted revision", wholeTime, func() bool {
+	err := deploy.Until("every entry to have the newest accepted revision", convergeTimeout, func() bool {
 		for i := range r.d.Entries {
 			doc, err := r.d.Operator(i).Config()
 			if err != nil || doc.Revision < newest {
@@ -73,21 +74,21 @@
 		return true
 	})
 	if err != nil {
-		r.finding("%v", err)
+		r.addFinding("%v", err)
 		return
 	}
 	records, err := r.d.Operator(0).Audit(1)
 	if err != nil {
-		r.finding("trail: %v", err)
+		r.addFinding("reading the audit trail: %v", err)
 		return
 	}
-	at := make(map[string]uint64, len(records))
+	revisions := make(map[string]uint64, len(records))
 	for _, rec := range records {
-		at[rec.ID] = rec.Revision
+		revisions[rec.ID] = rec.Revision
 	}
 	for _, a := range r.accepted {
-		if at[a.id] != a.revision {
-			r.finding("change %s was accepted as revision %d but stands at %d", a.id, a.revision, at[a.id])
+		if revisions[a.id] != a.revision {
+			r.addFinding("change %s was accepted as revision %d but the audit trail has it at revision %d", a.id, a.revision, revisions[a.id])
 		}
 	}
 }
--- a/chaos/run.go
+++ b/chaos/run.go
@@ -13,26 +13,26 @@
 	"geraniumpass/deploy"
 )
 
-// Options says how long and how hard a run is.
+// Options configures the length and intensity of a run.
 type Options struct {
 	Seed   uint64
 	Events int
-	// Pause is the mean time between events.
+	// Pause is the mean time between events; faults last about as long.
 	Pause time.Duration
-	// Callers send in parallel.
+	// Callers is the number of concurrent callers.
 	Callers int
 }
 
-// Report is what a run has seen.
+// Report summarizes a run.
 type Report struct {
-	Seed     uint64
-	Events   []string
-	Verdicts map[caller.Verdict]int
-	Accepted int
-	Healed   time.Duration
+	Seed         uint64
+	Events       []string
+	Verdicts     map[caller.Verdict]int
+	Accepted     int
+	RecoveryTime time.Duration
 }
 
-// FailureError lists what was violated, with the seed and the last events.
+// FailureError lists the violated invariants, with the seed and the events.
 type FailureError struct {
 	Seed     uint64
 	Events   []string
@@ -46,56 +46,57 @@
 	return fmt.Sprintf("seed %d: %s\nlast events:\n  %s", e.Seed, strings.Join(e.Findings, "\n  "), strings.Join(events, "\n  "))
 }
 
-// run is one run under way.
+// run is the state of one run.
 type run struct {
-	d      *deploy.Deployment
-	opt    Options
-	random *rand.Rand
-	stop   chan struct{}
-	wg     sync.WaitGroup
-	began  time.Time
+	d       *deploy.Deployment
+	opts    Options
+	random  *rand.Rand
+	stop    chan struct{}
+	wg      sync.WaitGroup
+	started time.Time
 
-	mu       sync.Mutex
-	events   []string
-	results  map[string][]caller.Verdict
-	once     map[string]bool
-	counts   map[caller.Verdict]int
-	accepted []acceptedChange
-	findings []string
+	mu         sync.Mutex
+	events     []string
+	results    map[string][]caller.Verdict
+	atMostOnce map[string]bool
+	counts     map[caller.Verdict]int
+	accepted   []acceptedChange
+	findings   []string
 }
 
-// Run breaks the deployment opt.Events times, heals everything, waits until it is whole again and returns a *FailureError if anything was violated.
+// Run injects opt.Events faults into the deployment, waits until it has recovered and returns a
+// *FailureError if an invariant was violated.
 func Run(d *deploy.Deployment, opt Options) (Report, error) {
 	r := &run{
-		d:       d,
-		opt:     opt,
-		random:  rand.New(rand.NewPCG(opt.Seed, 7)),
-		stop:    make(chan struct{}),
-		began:   time.Now(),
-		results: make(map[string][]caller.Verdict),
-		once:    make(map[string]bool),
-		counts:  make(map[caller.Verdict]int),
+		d:          d,
+		opts:       opt,
+		random:     rand.New(rand.NewPCG(opt.Seed, 7)),
+		stop:       make(chan struct{}),
+		started:    time.Now(),
+		results:    make(map[string][]caller.Verdict),
+		atMostOnce: make(map[string]bool),
+		counts:     make(map[caller.Verdict]int),
 	}
 	for i := range opt.Callers {
-		r.wg.Go(func() { r.call(i) })
+		r.wg.Go(func() { r.sendRequests(i) })
 	}
-	r.wg.Go(r.operate)
+	r.wg.Go(r.changeTargets)
 	for range opt.Events {
-		r.breakSomething()
+		r.injectFault()
 	}
-	r.note("heal")
-	healed := time.Now()
-	r.heal()
+	r.logEvent("wait for recovery")
+	recoveryStart := time.Now()
+	r.waitHealthy()
 	close(r.stop)
 	r.wg.Wait()
-	took := time.Since(healed)
+	recoveryTime := time.Since(recoveryStart)
 	r.check()
 	report := Report{
-		Seed:     opt.Seed,
-		Events:   r.events,
-		Verdicts: r.counts,
-		Accepted: len(r.accepted),
-		Healed:   took,
+		Seed:         opt.Seed,
+		Events:       r.events,
+		Verdicts:     r.counts,
+		Accepted:     len(r.accepted),
+		RecoveryTime: recoveryTime,
 	}
 	if len(r.findings) > 0 {
 		return report, &FailureError{
@@ -107,62 +108,63 @@
 	return report, nil
 }
 
-func (r *run) note(format string, args ...any) {
+func (r *run) logEvent(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.events = append(r.events, fmt.Sprintf("%7.2fs ", time.Since(r.began).Seconds())+fmt.Sprintf(format, args...))
+	r.events = append(r.events, fmt.Sprintf("%7.2fs ", time.Since(r.started).Seconds())+fmt.Sprintf(format, args...))
 }
 
-func (r *run) finding(format string, args ...any) {
+func (r *run) addFinding(format string, args ...any) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.findings = append(r.findings, fmt.Sprintf(format, args...))
 }
 
-// check compares the counts of the services with what callers were told, and reads every log for broken invariants.
+// check compares the executions counted by the services with the results of the callers, and
+// searches all logs for invariant violations.
 func (r *run) check() {
 	for probe, verdicts := range r.results {
 		runs := r.d.Runs.Runs(probe)
-		if r.once[probe] && runs > 1 {
-			r.finding("%s ran %d times, callers were told %v", probe, runs, verdicts)
+		if r.atMostOnce[probe] && runs > 1 {
+			r.addFinding("%s was executed %d times, callers got %v", probe, runs, verdicts)
 		}
 		notRun := true
 		for _, v := range verdicts {
 			notRun = notRun && v == caller.NotRun
 			if v == caller.Wrong {
-				r.finding("%s got a wrong answer", probe)
+				r.addFinding("%s got a wrong answer", probe)
 			}
 			if v == caller.Whole && runs == 0 {
-				r.finding("%s was answered without a run", probe)
+				r.addFinding("%s was answered without being executed", probe)
 			}
 		}
-		if r.once[probe] && notRun && runs > 0 {
-			r.finding("%s ran although it was called not run", probe)
+		if r.atMostOnce[probe] && notRun && runs > 0 {
+			r.addFinding("%s was executed although every response said that it was not run", probe)
 		}
 	}
 	for name, g := range r.d.Groups {
 		if n := g.Violations(); n > 0 {
-			r.finding("group %s took %d steps on more than one map", name, n)
+			r.addFinding("group %s executed %d steps on more than one expert map", name, n)
 		}
 	}
-	r.checkTrail()
+	r.checkAuditTrail()
 	r.checkLogs()
 }
 
 func (r *run) checkLogs() {
 	files, err := filepath.Glob(filepath.Join(r.d.Dir, "*.log"))
 	if err != nil {
-		r.finding("logs: %v", err)
+		r.addFinding("reading the logs: %v", err)
 	}
 	for _, f := range files {
 		b, err := os.ReadFile(f)
 		if err != nil {
-			r.finding("logs: %v", err)
+			r.addFinding("reading the logs: %v", err)
 			continue
 		}
-		for _, sign := range []string{"invariant ", "panic:", "DATA RACE"} {
-			if i := strings.Index(string(b), sign); i >= 0 {
-				r.finding("%s: %s", filepath.Base(f), b[i:min(len(b), i+400)])
+		for _, marker := range []string{"invariant ", "panic:", "DATA RACE"} {
+			if i := strings.Index(string(b), marker); i >= 0 {
+				r.addFinding("%s: %s", filepath.Base(f), b[i:min(len(b), i+400)])
 			}
 		}
 	}
--- a/cmd/capacity/agentlinks.go
+++ b/cmd/capacity/agentlinks.go
@@ -13,7 +13,7 @@
 
 func (r *runner) agentLinks() []series {
 	sizes := []int{9, 36, 72, 144}
-	var got []used
+	var usages []usage
 	for _, n := range sizes {
 		address, err := deploy.FreeAddress()
 		must(err)
@@ -34,21 +34,21 @@
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
 		for i := range n {
-			wg.Go(func() { beat(address, i, stop) })
+			wg.Go(func() { holdLink(address, i, stop) })
 		}
-		time.Sleep(2 * settle)
-		got = append(got, r.measured(p))
+		time.Sleep(2 * settleTime)
+		usages = append(usages, r.measureUsage(p))
 		close(stop)
 		wg.Wait()
 		p.Kill()
 	}
-	return usual("links", sizes, got)
+	return usageSeries("links", sizes, usages)
 }
 
-// beat holds one link with heartbeats as an entry does.
-func beat(address string, i int, stop chan struct{}) {
+// holdLink keeps one link open and sends heartbeats as an entry does.
+func holdLink(address string, i int, stop chan struct{}) {
 	var l *wire.Link
-	must(deploy.Until("the agent to take a link", readyTime, func() bool {
+	must(deploy.Until("the agent to accept a link", readyTimeout, func() bool {
 		var err error
 		l, err = wire.Dial(address, wire.Identity{
 			ID:          fmt.Sprintf("entry-%03d", i),
--- a/cmd/capacity/bench.go
+++ b/cmd/capacity/bench.go
@@ -18,12 +18,12 @@
 )
 
 const (
-	readyTime  = 20 * time.Second
-	accountKey = "key-engineering"
-	manyLinks  = 4096
+	readyTimeout = 20 * time.Second
+	accountKey   = "key-engineering"
+	maxLinks     = 4096
 )
 
-// site is one entry process before a fleet of agents, with the platform's stand-ins.
+// site is a set of entry processes in front of a fleet of agents, with stand-ins for the platform.
 type site struct {
 	kv      *emul.Store
 	list    *stand.List
@@ -40,7 +40,7 @@
 	if err := s.kv.Server.Start(); err != nil {
 		return nil, err
 	}
-	s.list = stand.NewList("127.0.0.1:0", f.rows)
+	s.list = stand.NewList("127.0.0.1:0", f.instances)
 	if err := s.list.Server.Start(); err != nil {
 		return nil, err
 	}
@@ -74,7 +74,7 @@
 		},
 		LinkKey:     linkKey,
 		OperatorKey: operatorKey,
-		MaxLinks:    manyLinks,
+		MaxLinks:    maxLinks,
 		Log:         setup.Log{Level: "warn"},
 	}
 	p, err := deploy.Launch(binary, dir, cfg.ID+"-"+uuid.NewString()[:8], "entry", control, cfg)
@@ -113,7 +113,7 @@
 			Percent: 95,
 		},
 	})
-	err := deploy.Until("the entry to take a configuration", readyTime, func() bool {
+	err := deploy.Until("the entry to accept a configuration", readyTimeout, func() bool {
 		_, err := s.operator(0).Change(entry.ChangeRequest{
 			ID:  "first",
 			Who: "capacity",
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	return deploy.Until("the entries to link to every agent", readyTime, func() bool {
+	return deploy.Until("the entries to connect to every agent", readyTimeout, func() bool {
 		for i := range s.entries {
 			st, err := s.operator(i).Status()
 			if err != nil {
@@ -135,7 +135,7 @@
 					return false
 				}
 			}
-			if len(st.Upstreams) < len(s.fleet.rows) {
+			if len(st.Upstreams) < len(s.fleet.instances) {
 				return false
 			}
 		}
@@ -143,8 +143,8 @@
 	})
 }
 
-// retarget changes the configuration once.
-func (s *site) retarget(n int) error {
+// changeTarget makes one configuration change.
+func (s *site) changeTarget(n int) error {
 	c := s.operator(0)
 	doc, err := c.Config()
 	if err != nil {
--- a/cmd/capacity/control.go
+++ b/cmd/capacity/control.go
@@ -11,34 +11,34 @@
 
 func (r *runner) links() []series {
 	sizes := []int{24, 48, 96, 192}
-	var got []used
+	var usages []usage
 	for _, n := range sizes {
 		s := r.site(1, n, 0, fastPace, oper.File{})
-		got = append(got, r.measured(s.entries[0]))
+		usages = append(usages, r.measureUsage(s.entries[0]))
 		s.close()
 	}
-	return usual("links", sizes, got)
+	return usageSeries("links", sizes, usages)
 }
 
 func (r *runner) changes() []series {
 	sizes := []int{0, 2, 4, 8}
-	var got []used
+	var usages []usage
 	s := r.site(1, 48, 0, fastPace, oper.File{})
 	defer s.close()
 	for _, n := range sizes {
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
 		if n > 0 {
-			wg.Go(func() { r.changeAt(s, n, stop) })
+			wg.Go(func() { r.changePeriodically(s, n, stop) })
 		}
-		got = append(got, r.measured(s.entries[0]))
+		usages = append(usages, r.measureUsage(s.entries[0]))
 		close(stop)
 		wg.Wait()
 	}
-	return usual("changes a second", sizes, got)
+	return usageSeries("changes a second", sizes, usages)
 }
 
-func (r *runner) changeAt(s *site, perSecond int, stop chan struct{}) {
+func (r *runner) changePeriodically(s *site, perSecond int, stop chan struct{}) {
 	t := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer t.Stop()
 	for n := 0; ; n++ {
@@ -46,14 +46,14 @@
 		case <-stop:
 			return
 		case <-t.C:
-			must(s.retarget(perSecond*1000 + n))
+			must(s.changeTarget(perSecond*1000 + n))
 		}
 	}
 }
 
 func (r *runner) ranks() []series {
 	sizes := []int{64, 96, 128, 192, 256}
-	var got []used
+	var usages []usage
 	for _, n := range sizes {
 		s := r.site(1, n, rankCount, fastPace, oper.File{
 			Groups: []config.Group{{
@@ -62,25 +62,25 @@
 				MovesPerHour: 1,
 			}},
 		})
-		must(deploy.Until("the entry to lead", readyTime, func() bool {
+		must(deploy.Until("the entry to lead its group", readyTimeout, func() bool {
 			st, err := s.operator(0).Status()
 			return err == nil && len(st.Groups) == 1 && st.Groups[0].Leading
 		}))
-		got = append(got, r.measured(s.entries[0]))
+		usages = append(usages, r.measureUsage(s.entries[0]))
 		s.close()
 	}
-	return usual("ranks, each a link", sizes, got)
+	return usageSeries("ranks, each a link", sizes, usages)
 }
 
 func (r *runner) entries() []series {
 	sizes := []int{1, 2, 4, 8}
-	reads := series{name: "reads, watches among them", unit: "1/s", by: "entries"}
-	writes := series{name: "writes", unit: "1/s", by: "entries"}
+	reads := series{name: "reads, watches among them", unit: "1/s", variable: "entries"}
+	writes := series{name: "writes", unit: "1/s", variable: "entries"}
 	for _, n := range sizes {
 		s := r.site(n, 6, 0, fastPace, oper.File{})
 		r0, w0 := s.kv.Calls()
 		started := time.Now()
-		time.Sleep(2 * r.while)
+		time.Sleep(2 * r.interval)
 		r1, w1 := s.kv.Calls()
 		sec := time.Since(started).Seconds()
 		reads.points = append(reads.points, point{x: float64(n), y: float64(r1-r0) / sec})
--- a/cmd/capacity/document.go
+++ b/cmd/capacity/document.go
@@ -13,13 +13,13 @@
 )
 
 func (r *runner) document() []series {
-	size := series{name: "document", unit: "bytes", by: "accounts"}
-	lookup := series{name: "finding an account and a class", unit: "ns", by: "accounts"}
-	classSize := series{name: "document", unit: "bytes", by: "classes"}
-	recordSize := series{name: "document", unit: "bytes", by: "records in it"}
+	size := series{name: "document", unit: "bytes", variable: "accounts"}
+	lookup := series{name: "finding an account and a class", unit: "ns", variable: "accounts"}
+	classSize := series{name: "document", unit: "bytes", variable: "classes"}
+	recordSize := series{name: "document", unit: "bytes", variable: "records in it"}
 	for _, n := range []int{10, 55, 110, 220} {
-		doc := documentOf(n, 20, 1)
-		size.points = append(size.points, point{x: float64(n), y: encoded(doc)})
+		doc := newDocument(n, 20, 1)
+		size.points = append(size.points, point{x: float64(n), y: encodedSize(doc)})
 		key := doc.Accounts[n-1].KeySHA256[0]
 		const rounds = 20000
 		started := time.Now()
@@ -30,15 +30,15 @@
 		lookup.points = append(lookup.points, point{x: float64(n), y: float64(time.Since(started).Nanoseconds()) / rounds})
 	}
 	for _, n := range []int{5, 10, 20, 40} {
-		classSize.points = append(classSize.points, point{x: float64(n), y: encoded(documentOf(10, n, 1))})
+		classSize.points = append(classSize.points, point{x: float64(n), y: encodedSize(newDocument(10, n, 1))})
 	}
 	for _, n := range []int{32, 64, 128, 256} {
-		recordSize.points = append(recordSize.points, point{x: float64(n), y: encoded(documentOf(10, 20, n))})
+		recordSize.points = append(recordSize.points, point{x: float64(n), y: encodedSize(newDocument(10, 20, n))})
 	}
 	return []series{size, classSize, recordSize, lookup}
 }
 
-func documentOf(accounts, classes, records int) *config.Document {
+func newDocument(accounts, classes, records int) *config.Document {
 	doc := &config.Document{}
 	for i := range accounts {
 		doc.Accounts = append(doc.Accounts, config.Account{
@@ -75,7 +75,7 @@
 	return doc
 }
 
-func encoded(v any) float64 {
+func encodedSize(v any) float64 {
 	b, err := json.Marshal(v)
 	must(errs.Wrap(err))
 	return float64(len(b))
--- a/cmd/capacity/fleet.go
+++ b/cmd/capacity/fleet.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	linkKey     = "link-key-of-the-measurement"
-	operatorKey = "operator-key-of-the-measurement"
-	region      = "bc-lower"
-	domain      = "hall-a"
-	service     = "geranium-lm"
-	groupName   = "group"
-	slotsARank  = 2
-	// prompt is what every request of the measurement asks, and tokens what a short answer has.
+	linkKey      = "link-key-of-the-measurement"
+	operatorKey  = "operator-key-of-the-measurement"
+	region       = "bc-lower"
+	domain       = "hall-a"
+	service      = "geranium-lm"
+	groupName    = "group"
+	slotsPerRank = 2
+	// prompt is the prompt of every request.
 	prompt = "p"
 )
 
-// fleet is a number of agents in this process, for sizes that separate processes can't reach.
+// fleet is a set of agents within this process, for sizes that separate processes can't reach.
 type fleet struct {
-	rows   []core.Instance
-	cancel context.CancelFunc
-	wg     sync.WaitGroup
+	instances []core.Instance
+	cancel    context.CancelFunc
+	wg        sync.WaitGroup
 }
 
-// newFleet starts n agents; with experts they are the ranks of one group.
+// newFleet starts n agents; if experts is positive, they are the ranks of one group.
 func newFleet(n int, experts int, pace time.Duration) (*fleet, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	f := &fleet{cancel: cancel}
-	var first []byte
+	var encodedMap []byte
 	var tokens []float64
 	if experts > 0 {
 		var err error
-		if first, err = place.Even(experts, n, slotsARank).Encode(); err != nil {
+		if encodedMap, err = place.Even(experts, n, slotsPerRank).Encode(); err != nil {
 			cancel()
 			return nil, err
 		}
@@ -55,15 +55,15 @@
 	}
 	for i := range n {
 		u := &instantUpstream{
-			pace:    pace,
-			ranks:   n,
-			version: 1,
-			first:   first,
+			pace:       pace,
+			ranks:      n,
+			version:    1,
+			encodedMap: encodedMap,
 		}
 		if i == 0 {
 			u.tokens = tokens
 		}
-		if err := f.add(ctx, i, n, u, experts > 0); err != nil {
+		if err := f.addAgent(ctx, i, n, u, experts > 0); err != nil {
 			f.close()
 			return nil, err
 		}
@@ -71,7 +71,7 @@
 	return f, nil
 }
 
-func (f *fleet) add(ctx context.Context, i, n int, u agent.Upstream, grouped bool) error {
+func (f *fleet) addAgent(ctx context.Context, i, n int, u agent.Upstream, grouped bool) error {
 	address, err := deploy.FreeAddress()
 	if err != nil {
 		return err
@@ -103,7 +103,7 @@
 		return err
 	}
 	f.wg.Go(func() { _ = a.Run(ctx) })
-	f.rows = append(f.rows, core.Instance{
+	f.instances = append(f.instances, core.Instance{
 		ID:      cfg.ID,
 		Service: service,
 		Kind:    core.KindModel,
--- a/cmd/capacity/instantupstream.go
+++ b/cmd/capacity/instantupstream.go
@@ -12,15 +12,16 @@
 	"geraniumpass/stand"
 )
 
-// instantUpstream answers without a network: a head and the tokens that a request asks for, at a fixed pace.
+// instantUpstream is an in-process upstream that answers with the requested number of tokens at a
+// fixed pace.
 type instantUpstream struct {
 	pace  time.Duration
 	ranks int
 
-	mu      sync.Mutex
-	version uint64
-	first   []byte
-	tokens  []float64
+	mu         sync.Mutex
+	version    uint64
+	encodedMap []byte
+	tokens     []float64
 }
 
 // Do implements agent.Upstream.
@@ -49,7 +50,7 @@
 // Leaving implements agent.Upstream.
 func (*instantUpstream) Leaving() (bool, error) { return false, nil }
 
-// Order implements agent.Upstream for a rank that follows every order at once.
+// Order implements agent.Upstream for a rank that executes every order immediately.
 func (u *instantUpstream) Order(body []byte) ([]byte, error) {
 	var o struct {
 		Kind    proto.OrderKind `json:"kind"`
@@ -69,7 +70,7 @@
 			Version: u.version,
 			Step:    uint64(time.Now().UnixMilli()) / 4,
 			Staged:  u.version,
-			Map:     u.first,
+			Map:     u.encodedMap,
 			Tokens:  u.tokens,
 		},
 	})
--- a/cmd/capacity/load.go
+++ b/cmd/capacity/load.go
@@ -8,7 +8,7 @@
 	"geraniumpass/oper"
 )
 
-// send keeps a pace of streamed requests up until stopped.
+// send sends streamed requests at a fixed rate until stopped.
 func send(s *site, perSecond int, n int, stop chan struct{}, wg *sync.WaitGroup) {
 	t := time.NewTicker(time.Second / time.Duration(perSecond))
 	defer t.Stop()
@@ -28,24 +28,24 @@
 
 func (r *runner) requests() []series {
 	sizes := []int{50, 100, 200, 400}
-	var got []used
+	var usages []usage
 	s := r.site(1, 24, 0, fastPace, oper.File{})
 	defer s.close()
 	for _, n := range sizes {
 		stop := make(chan struct{})
 		var wg sync.WaitGroup
-		wg.Go(func() { send(s, n, tokens, stop, &wg) })
-		time.Sleep(settle / 2)
-		got = append(got, r.measured(s.entries[0]))
+		wg.Go(func() { send(s, n, tokensPerRequest, stop, &wg) })
+		time.Sleep(settleTime / 2)
+		usages = append(usages, r.measureUsage(s.entries[0]))
 		close(stop)
 		wg.Wait()
 	}
-	return usual("requests a second", sizes, got)
+	return usageSeries("requests a second", sizes, usages)
 }
 
 func (r *runner) streams() []series {
 	sizes := []int{50, 100, 200, 400}
-	var got []used
+	var usages []usage
 	s := r.site(1, 24, 0, slowPace, oper.File{})
 	defer s.close()
 	for _, n := range sizes {
@@ -54,13 +54,13 @@
 			Entry: s.listen,
 			Key:   accountKey,
 		}
-		count := int((r.while + 2*settle) / slowPace)
+		tokens := int((r.interval + 2*settleTime) / slowPace)
 		for range n {
-			wg.Go(func() { c.Completion(service, prompt, count, true, "") })
+			wg.Go(func() { c.Completion(service, prompt, tokens, true, "") })
 		}
-		time.Sleep(settle / 2)
-		got = append(got, r.measured(s.entries[0]))
+		time.Sleep(settleTime / 2)
+		usages = append(usages, r.measureUsage(s.entries[0]))
 		wg.Wait()
 	}
-	return usual("streams of 50 tokens/s", sizes, got)
+	return usageSeries("streams of 50 tokens/s", sizes, usages)
 }
--- a/cmd/capacity/main.go
+++ b/cmd/capacity/main.go
@@ -8,26 +8,26 @@
 	"github.com/alecthomas/kingpin/v2"
 )
 
-// runner holds what all measurements need.
+// runner holds the parameters shared by all measurements.
 type runner struct {
-	binary string
-	dir    string
-	while  time.Duration
+	binary   string
+	dir      string
+	interval time.Duration
 }
 
 func main() {
-	app := kingpin.New("capacity", "Measures how the load of each role grows with size.")
-	binary := app.Flag("binary", "The geraniumpass program.").Required().ExistingFile()
-	while := app.Flag("while", "How long each size is measured.").Default("4s").Duration()
-	only := app.Flag("only", "Run only the measurements whose title matches this expression.").Default(".").Regexp()
+	app := kingpin.New("capacity", "Measures how the load of each role grows with the size of a deployment.")
+	binary := app.Flag("binary", "Path of the geraniumpass binary.").Required().ExistingFile()
+	interval := app.Flag("while", "Duration of the measurement of each size.").Default("4s").Duration()
+	only := app.Flag("only", "Run only the measurements whose title matches this regular expression.").Default(".").Regexp()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	dir, err := os.MkdirTemp("", "geraniumpass-capacity-")
 	must(err)
 	defer func() { _ = os.RemoveAll(dir) }()
 	r := &runner{
-		binary: *binary,
-		dir:    dir,
-		while:  *while,
+		binary:   *binary,
+		dir:      dir,
+		interval: *interval,
 	}
 	started := time.Now()
 	for _, m := range []struct {
--- a/cmd/capacity/probe.go
+++ b/cmd/capacity/probe.go
@@ -14,10 +14,10 @@
 	"geraniumpass/deploy"
 )
 
-// clockTick is the kernel's unit of processor time in /proc, a hundredth of a second.
+// clockTick is the kernel's unit of processor time in /proc.
 const clockTick = 10 * time.Millisecond
 
-// reading is what a process has used so far.
+// reading is the cumulative resource usage of a process.
 type reading struct {
 	at       time.Time
 	cpu      time.Duration
@@ -29,9 +29,10 @@
 	mallocs  float64
 }
 
-// used is what a process used in a second, between two readings.
-type used struct {
-	// CPU is the share of one core in percent, resident is in megabytes, and the bytes are sent and received by the second.
+// usage is the resource usage of a process per second, between two readings.
+type usage struct {
+	// cpu is in percent of one core, resident in MiB, bytes the link bytes per second in both
+	// directions.
 	cpu      float64
 	resident float64
 	bytes    float64
@@ -40,7 +41,7 @@
 	mallocs  float64
 }
 
-func read(p *deploy.Process) (reading, error) {
+func readProcess(p *deploy.Process) (reading, error) {
 	r := reading{at: time.Now()}
 	b, err := os.ReadFile(fmt.Sprintf("/proc/%d/stat", p.PID()))
 	if err != nil {
@@ -49,9 +50,9 @@
 	_, rest, _ := strings.Cut(string(b), ") ")
 	fields := strings.Fields(rest)
 	const user, system, pages = 11, 12, 21
-	ticks := number(fields[user]) + number(fields[system])
+	ticks := parseNumber(fields[user]) + parseNumber(fields[system])
 	r.cpu = time.Duration(ticks) * clockTick
-	r.resident = number(fields[pages]) * float64(os.Getpagesize()) / (1 << 20)
+	r.resident = parseNumber(fields[pages]) * float64(os.Getpagesize()) / (1 << 20)
 	status, body, err := fasthttp.GetTimeout(nil, "http://"+p.Control+"/debug/vars", time.Second)
 	if err != nil || status != fasthttp.StatusOK {
 		return r, errs.Errorf("no expvar from %s: %v", p.ID, err)
@@ -73,7 +74,7 @@
 	return r, nil
 }
 
-func number(s string) float64 {
+func parseNumber(s string) float64 {
 	n, err := strconv.ParseFloat(s, 64)
 	if err != nil {
 		return 0
@@ -81,19 +82,19 @@
 	return n
 }
 
-// measure reads a process before and after a while and returns what it used a second.
-func measure(p *deploy.Process, while time.Duration) (used, error) {
-	a, err := read(p)
+// measure reads the counters of a process twice, interval apart, and returns the usage per second.
+func measure(p *deploy.Process, interval time.Duration) (usage, error) {
+	a, err := readProcess(p)
 	if err != nil {
-		return used{}, err
+		return usage{}, err
 	}
-	time.Sleep(while)
-	b, err := read(p)
+	time.Sleep(interval)
+	b, err := readProcess(p)
 	if err != nil {
-		return used{}, err
+		return usage{}, err
 	}
 	s := b.at.Sub(a.at).Seconds()
-	return used{
+	return usage{
 		cpu:      (b.cpu - a.cpu).Seconds() / s * 100,
 		resident: b.resident,
 		bytes:    (b.sent + b.received - a.sent - a.received) / s,
--- a/cmd/capacity/roles.go
+++ b/cmd/capacity/roles.go
@@ -8,24 +8,24 @@
 )
 
 const (
-	settle    = time.Second
-	tokens    = 20
-	fastPace  = time.Millisecond
-	slowPace  = 20 * time.Millisecond
-	rankCount = 128
+	settleTime       = time.Second
+	tokensPerRequest = 20
+	fastPace         = time.Millisecond
+	slowPace         = 20 * time.Millisecond
+	rankCount        = 128
 )
 
-// usual makes the usual series from what a process used at each size.
-func usual(by string, sizes []int, got []used) []series {
+// usageSeries returns the standard series from the usage at each size.
+func usageSeries(variable string, sizes []int, usages []usage) []series {
 	out := []series{
-		{name: "processor", unit: "% of core", by: by},
-		{name: "resident memory", unit: "MB", by: by},
-		{name: "link bytes, both ways", unit: "B/s", by: by},
-		{name: "frames sent", unit: "1/s", by: by},
-		{name: "allocations", unit: "1/s", by: by},
+		{name: "processor", unit: "% of core", variable: variable},
+		{name: "resident memory", unit: "MB", variable: variable},
+		{name: "link bytes, both ways", unit: "B/s", variable: variable},
+		{name: "frames sent", unit: "1/s", variable: variable},
+		{name: "allocations", unit: "1/s", variable: variable},
 	}
 	for i, n := range sizes {
-		for j, y := range []float64{got[i].cpu, got[i].resident, got[i].bytes, got[i].frames, got[i].mallocs} {
+		for j, y := range []float64{usages[i].cpu, usages[i].resident, usages[i].bytes, usages[i].frames, usages[i].mallocs} {
 			out[j].points = append(out[j].points, point{x: float64(n), y: y})
 		}
 	}
@@ -37,13 +37,13 @@
 	must(err)
 	s, err := newSite(r.binary, r.dir, entries, fl, f)
 	must(err)
-	time.Sleep(settle)
+	time.Sleep(settleTime)
 	return s
 }
 
-// measured returns what a process uses while one size is measured.
-func (r *runner) measured(p *deploy.Process) used {
-	u, err := measure(p, r.while)
+// measureUsage returns the usage of a process over the runner's interval.
+func (r *runner) measureUsage(p *deploy.Process) usage {
+	u, err := measure(p, r.interval)
 	must(err)
 	return u
 }
--- a/cmd/demo/doc.go
+++ b/cmd/demo/doc.go
@@ -1,2 +1,3 @@
-// Command demo runs an example deployment on the loopback interface, breaks parts of it under load and shows what callers got.
+// Command demo runs an example deployment on the loopback interface, injects faults under load and
+// prints the results of the callers.
 package main
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -14,20 +14,20 @@
 )
 
 func main() {
-	app := kingpin.New("demo", "Shows a whole deployment at work on the loopback interface.")
-	binary := app.Flag("binary", "The geraniumpass program.").Required().ExistingFile()
+	app := kingpin.New("demo", "Demonstrates a whole deployment on the loopback interface.")
+	binary := app.Flag("binary", "Path of the geraniumpass binary.").Required().ExistingFile()
 	plan := app.Flag("plan", "Deployment to run.").Default("examples/reverbline.json").ExistingFile()
-	lasts := app.Flag("lasts", "How long callers send.").Default("10s").Duration()
-	keep := app.Flag("keep", "Leave the deployment up until interrupted.").Envar("KEEP").Bool()
-	logs := app.Flag("logs", "Folder that keeps the settings and logs of every process; a temporary one when left out.").String()
+	duration := app.Flag("lasts", "How long callers send requests.").Default("10s").Duration()
+	keep := app.Flag("keep", "Keep the deployment running until interrupted.").Envar("KEEP").Bool()
+	logs := app.Flag("logs", "Folder for the settings and logs of every process; a temporary one if omitted.").String()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
-	if err := run(*binary, *plan, *logs, *lasts, *keep); err != nil {
+	if err := run(*binary, *plan, *logs, *duration, *keep); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-func run(binary, file, dir string, lasts time.Duration, keep bool) error {
+func run(binary, file, dir string, duration time.Duration, keep bool) error {
 	plan, err := deploy.Load(file)
 	if err != nil {
 		return err
@@ -48,25 +48,25 @@
 		return err
 	}
 	defer d.Close()
-	fmt.Printf("up after %s: %d agents before %d engines and %d plain services\n\n", time.Since(started).Round(time.Millisecond), len(d.Agents), len(d.Engines), len(d.Plains))
-	s := newShow(d)
-	s.run(lasts)
+	fmt.Printf("up after %s: %d agents in front of %d engines and %d plain services\n\n", time.Since(started).Round(time.Millisecond), len(d.Agents), len(d.Engines), len(d.Plains))
+	s := newDemonstration(d)
+	s.run(duration)
 	ok := s.report()
 	if keep {
-		hold(d)
+		waitForInterrupt(d)
 	}
-	if bad := d.Stop(); len(bad) > 0 {
-		fmt.Println("did not stop cleanly:", bad)
+	if failed := d.Stop(); len(failed) > 0 {
+		fmt.Println("did not stop cleanly:", failed)
 		ok = false
 	}
 	if !ok {
-		return errs.Errorf("something was lost, doubled, cut or wrong")
+		return errs.Errorf("demo failed: requests lost, duplicated, cut or wrong, steps on mixed expert maps, or an unclean stop")
 	}
-	fmt.Println("nothing was lost, doubled or cut; every process has stopped")
+	fmt.Println("no request was lost, duplicated or cut; all processes have stopped")
 	return nil
 }
 
-func hold(d *deploy.Deployment) {
+func waitForInterrupt(d *deploy.Deployment) {
 	e := d.Entries[0]
 	fmt.Printf(`
 The deployment stays up. Try, in another terminal:
--- a/cmd/demo/show.go
+++ b/cmd/demo/show.go
@@ -22,36 +22,36 @@
 )
 
 const (
-	lookupTokens  = 8
-	summaryTokens = 120
-	restartAfter  = time.Second
-	sendersEach   = 6
-	pause         = 40 * time.Millisecond
-	newTarget     = 350 * time.Millisecond
+	lookupTokens    = 8
+	summaryTokens   = 120
+	restartDelay    = time.Second
+	sendersPerClass = 6
+	sendPause       = 40 * time.Millisecond
+	newTarget       = 350 * time.Millisecond
 )
 
-// show sends the demonstration's work and breaks things while it goes on.
-type show struct {
+// demonstration sends the load of the demo and injects faults meanwhile.
+type demonstration struct {
 	d      *deploy.Deployment
 	model  string
 	plain  string
 	keys   []string
 	random *rand.Rand
 
-	mu      sync.Mutex
-	results map[string][]caller.Result
-	probes  map[string]caller.Verdict
+	mu       sync.Mutex
+	results  map[string][]caller.Result
+	verdicts map[string]caller.Verdict
 }
 
-func newShow(d *deploy.Deployment) *show {
+func newDemonstration(d *deploy.Deployment) *demonstration {
 	keys := lo.Values(d.Plan.Keys)
 	sort.Strings(keys)
-	s := &show{
-		d:       d,
-		keys:    keys,
-		random:  rand.New(rand.NewPCG(1, 2)),
-		results: make(map[string][]caller.Result),
-		probes:  make(map[string]caller.Verdict),
+	s := &demonstration{
+		d:        d,
+		keys:     keys,
+		random:   rand.New(rand.NewPCG(1, 2)),
+		results:  make(map[string][]caller.Result),
+		verdicts: make(map[string]caller.Verdict),
 	}
 	for _, sv := range d.Plan.Services {
 		if sv.Kind == core.KindModel {
@@ -63,99 +63,100 @@
 	return s
 }
 
-func (s *show) run(lasts time.Duration) {
-	end := time.Now().Add(lasts)
+func (s *demonstration) run(duration time.Duration) {
+	end := time.Now().Add(duration)
 	var senders sync.WaitGroup
-	for i := range sendersEach {
+	for i := range sendersPerClass {
 		senders.Go(func() { s.send(end, i, s.lookup) })
 		senders.Go(func() { s.send(end, i, s.summary) })
 		senders.Go(func() { s.send(end, i, s.booking) })
 	}
-	s.at(lasts/4, s.killAgent)
-	s.at(lasts/4, s.leave)
-	s.at(lasts/4, s.retarget)
+	s.runEvent(duration/4, s.killAgent)
+	s.runEvent(duration/4, s.markLeaving)
+	s.runEvent(duration/4, s.changeTarget)
 	senders.Wait()
 }
 
-// at waits and then lets one thing happen in the middle of the load.
-func (s *show) at(after time.Duration, event func() string) {
-	time.Sleep(after)
+// runEvent runs one event after a delay, while the load continues.
+func (s *demonstration) runEvent(delay time.Duration, event func() string) {
+	time.Sleep(delay)
 	note := event()
 	fmt.Println("  *", note)
 }
 
-func (s *show) send(end time.Time, sender int, one func(c *caller.Caller, n int)) {
+func (s *demonstration) send(end time.Time, sender int, request func(c *caller.Caller, n int)) {
 	for n := 0; time.Now().Before(end); n++ {
 		e := s.d.Entries[(sender+n)%len(s.d.Entries)]
-		one(&caller.Caller{
+		request(&caller.Caller{
 			Entry:   e.Listen,
 			Key:     s.keys[(sender*7+n)%len(s.keys)],
 			Timeout: 20 * time.Second,
 		}, n)
-		time.Sleep(pause)
+		time.Sleep(sendPause)
 	}
 }
 
-func (s *show) lookup(c *caller.Caller, n int) {
+func (s *demonstration) lookup(c *caller.Caller, n int) {
 	c.Label = "lookup"
 	probe := uuid.NewString()
-	s.keep("lookup", probe, c.Completion(s.model, "status of simulation "+strconv.Itoa(n)+" "+probe, lookupTokens, n%2 == 0, probe), false)
+	s.record("lookup", probe, c.Completion(s.model, "status of simulation "+strconv.Itoa(n)+" "+probe, lookupTokens, n%2 == 0, probe), false)
 }
 
-func (s *show) summary(c *caller.Caller, n int) {
+func (s *demonstration) summary(c *caller.Caller, n int) {
 	probe := uuid.NewString()
-	s.keep("summary", probe, c.Completion(s.model, "summarise study "+strconv.Itoa(n)+" "+probe, summaryTokens, true, probe), false)
+	s.record("summary", probe, c.Completion(s.model, "summarise study "+strconv.Itoa(n)+" "+probe, summaryTokens, true, probe), false)
 }
 
-// booking is a call that may not be repeated; every third carries a key and is sent again through another entry.
-func (s *show) booking(c *caller.Caller, n int) {
+// booking sends a non-idempotent request; every third one has an idempotency key and is repeated
+// through another entry.
+func (s *demonstration) booking(c *caller.Caller, n int) {
 	probe := uuid.NewString()
 	key := ""
 	if n%3 == 0 {
 		key = "booking-" + probe
 	}
 	body := []byte(`{"review":"` + probe + `"}`)
-	s.keep("booking", probe, c.Plain("POST", s.plain, "/reviews?ms=5", body, probe, key), true)
+	s.record("booking", probe, c.Plain("POST", s.plain, "/reviews?ms=5", body, probe, key), true)
 	if key == "" {
 		return
 	}
-	again := *c
-	again.Entry = s.d.Entries[(n+1)%len(s.d.Entries)].Listen
-	s.keep("booking (repeat)", probe, again.Plain("POST", s.plain, "/reviews?ms=5", body, probe, key), true)
+	repeat := *c
+	repeat.Entry = s.d.Entries[(n+1)%len(s.d.Entries)].Listen
+	s.record("booking (repeat)", probe, repeat.Plain("POST", s.plain, "/reviews?ms=5", body, probe, key), true)
 }
 
-func (s *show) keep(class, probe string, r caller.Result, once bool) {
+func (s *demonstration) record(class, probe string, r caller.Result, atMostOnce bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.results[class] = append(s.results[class], r)
-	if once && s.probes[probe] != caller.Whole {
-		s.probes[probe] = r.Verdict
+	if atMostOnce && s.verdicts[probe] != caller.Whole {
+		s.verdicts[probe] = r.Verdict
 	}
 }
 
-func (s *show) killAgent() string {
+func (s *demonstration) killAgent() string {
 	id := s.model + "-03"
 	a := s.d.Agents[id]
 	a.Kill()
 	go func() {
-		time.Sleep(restartAfter)
+		time.Sleep(restartDelay)
 		_ = a.Restart()
 	}()
-	return "killed the agent of " + id + "; its supervisor restarts it after " + restartAfter.String()
+	return "killed the agent of " + id + "; its supervisor restarts it after " + restartDelay.String()
 }
 
-func (s *show) leave() string {
+func (s *demonstration) markLeaving() string {
 	id := s.plain + "-01"
 	s.d.SetLeaving(id, true)
-	return "the instance list says that " + id + " is leaving"
+	return "the instance list reports that " + id + " is leaving"
 }
 
-func (s *show) retarget() string {
+func (s *demonstration) changeTarget() string {
 	cl := s.d.Plan.Configuration.Classes[0]
 	op := s.d.Operator(1)
 	doc, err := op.Config()
 	if err != nil {
-		return "target not changed: " + err.Error()
+		return "changing the target failed: " + err.Error()
 	}
 	cl.Target.Within = setup.Duration{Duration: newTarget}
 	reply, err := op.Change(entry.ChangeRequest{
@@ -169,23 +170,24 @@
 		}},
 	})
 	if err != nil {
-		return "target not changed: " + err.Error()
+		return "changing the target failed: " + err.Error()
 	}
 	return fmt.Sprintf("an operator set the target of %s to %s: accepted as revision %d", cl.Name, newTarget, reply.Revision)
 }
 
-// report prints the table and returns true when nothing was lost, doubled, cut or wrong.
-func (s *show) report() bool {
+// report prints the results and reports whether no request was lost, duplicated, cut or wrong and
+// every group used one map in each step.
+func (s *demonstration) report() bool {
 	fmt.Println()
 	w := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CLASS\tSENT\tWHOLE\tNOT RUN\tUNKNOWN\tLOST\tCUT\tWRONG\tP50\tP95\tP99\tTARGET")
 	ok := true
 	for _, class := range lo.Uniq(append([]string{"lookup", "summary", "booking"}, lo.Keys(s.results)...)) {
-		ok = s.row(w, class) && ok
+		ok = s.printRow(w, class) && ok
 	}
 	_ = w.Flush()
-	doubled := s.doubled()
-	fmt.Printf("\nruns doubled or run though refused as not run: %d\n", doubled)
+	doubled := s.countViolations()
+	fmt.Printf("\noperations run more than once, run although refused as not run, or answered without a run: %d\n", doubled)
 	for name, g := range s.d.Groups {
 		fmt.Printf("group %s: %d steps, %d of them on more than one expert map\n", name, g.Step(), g.Violations())
 		ok = ok && g.Violations() == 0
@@ -193,18 +195,18 @@
 	return ok && doubled == 0
 }
 
-func (s *show) row(w *tabwriter.Writer, class string) bool {
+func (s *demonstration) printRow(w *tabwriter.Writer, class string) bool {
 	rs := s.results[class]
 	count := lo.CountValuesBy(rs, func(r caller.Result) caller.Verdict { return r.Verdict })
-	took := lo.FilterMap(rs, func(r caller.Result, _ int) (time.Duration, bool) {
+	latencies := lo.FilterMap(rs, func(r caller.Result, _ int) (time.Duration, bool) {
 		if r.First > 0 {
 			return r.First, r.Verdict == caller.Whole
 		}
 		return r.Took, r.Verdict == caller.Whole
 	})
-	sort.Slice(took, func(i, j int) bool { return took[i] < took[j] })
+	sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
 	fmt.Fprintf(w, "%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%s\t%s\t%s\t%s\n", class, len(rs), count[caller.Whole], count[caller.NotRun], count[caller.Unknown],
-		count[caller.Lost]+count[caller.Refused], count[caller.Cut], count[caller.Wrong], quantile(took, 0.5), quantile(took, 0.95), quantile(took, 0.99), s.target(class))
+		count[caller.Lost]+count[caller.Refused], count[caller.Cut], count[caller.Wrong], quantile(latencies, 0.5), quantile(latencies, 0.95), quantile(latencies, 0.99), s.target(class))
 	for _, r := range rs {
 		if r.Verdict == caller.Lost || r.Verdict == caller.Cut || r.Verdict == caller.Wrong || r.Verdict == caller.Refused {
 			fmt.Fprintf(os.Stderr, "%s: %s: %s\n", class, r.Verdict, r.Detail)
@@ -213,7 +215,7 @@
 	return count[caller.Lost]+count[caller.Cut]+count[caller.Wrong]+count[caller.Refused] == 0
 }
 
-func (s *show) target(class string) string {
+func (s *demonstration) target(class string) string {
 	for _, c := range s.d.Plan.Configuration.Classes {
 		if c.Name == class || class == "booking" && c.Match.Label == "" && lo.Contains(c.Match.Services, s.plain) {
 			return fmt.Sprintf("%v%% %s in %s", c.Target.Percent, c.Target.Measure, c.Target.Within)
@@ -229,10 +231,11 @@
 	return sorted[int(q*float64(len(sorted)-1))].Round(100 * time.Microsecond)
 }
 
-// doubled counts the operations that ran more than once, or at all after a refusal that said not run.
-func (s *show) doubled() int {
+// countViolations counts the operations that ran more than once, ran although refused as not run,
+// or were answered without running.
+func (s *demonstration) countViolations() int {
 	n := 0
-	for probe, verdict := range s.probes {
+	for probe, verdict := range s.verdicts {
 		runs := s.d.Runs.Runs(probe)
 		if runs > 1 || runs > 0 && verdict == caller.NotRun || runs == 0 && verdict == caller.Whole {
 			n++
--- a/cmd/geraniumpass/doc.go
+++ b/cmd/geraniumpass/doc.go
@@ -1,2 +1,2 @@
-// Command geraniumpass runs the roles of the system and the operator's commands.
+// Command geraniumpass runs the roles of the load balancer and the operator commands.
 package main
--- a/cmd/geraniumpass/main.go
+++ b/cmd/geraniumpass/main.go
@@ -23,21 +23,21 @@
 
 func registerRoles(app *kingpin.Application) {
 	entry := app.Command("entry", "Run an entry.")
-	entryFile := entry.Flag("config", "Settings in JSON with comments.").Required().String()
+	entryFile := entry.Flag("config", "Settings file in JSON with comments.").Required().String()
 	entry.Action(func(*kingpin.ParseContext) error { return start.Entry(*entryFile) })
 
 	agent := app.Command("agent", "Run the agent of one upstream instance.")
-	agentFile := agent.Flag("config", "Settings in JSON with comments.").Required().String()
+	agentFile := agent.Flag("config", "Settings file in JSON with comments.").Required().String()
 	agent.Action(func(*kingpin.ParseContext) error { return start.Agent(*agentFile) })
 
-	gateway := app.Command("gateway", "Run an entry on the platform, straight before the upstreams.")
-	gatewayFile := gateway.Flag("config", "Settings in JSON with comments.").Envar(start.SettingsVariable).Required().String()
+	gateway := app.Command("gateway", "Run an entry on the platform, directly in front of the upstreams.")
+	gatewayFile := gateway.Flag("config", "Settings file in JSON with comments.").Envar(start.SettingsVariable).Required().String()
 	gateway.Action(func(*kingpin.ParseContext) error { return start.Gateway(*gatewayFile) })
-	sidecar := app.Command("sidecar", "Run beside one rank of a group on the platform.")
-	sidecarFile := sidecar.Flag("config", "Settings in JSON with comments.").Envar(start.SettingsVariable).Required().String()
+	sidecar := app.Command("sidecar", "Run the sidecar of one rank of a group on the platform.")
+	sidecarFile := sidecar.Flag("config", "Settings file in JSON with comments.").Envar(start.SettingsVariable).Required().String()
 	sidecar.Action(func(*kingpin.ParseContext) error { return start.Sidecar(*sidecarFile) })
-	check := app.Command("check", "Validate a settings file and do nothing else.")
-	checkFile := check.Arg("file", "Settings of an entry or an agent.").Required().String()
+	check := app.Command("check", "Validate a settings file.")
+	checkFile := check.Arg("file", "Settings file of any role.").Required().String()
 	check.Action(func(*kingpin.ParseContext) error {
 		role, err := start.Check(*checkFile)
 		if err == nil {
--- a/cmd/policy/doc.go
+++ b/cmd/policy/doc.go
@@ -1,2 +1,3 @@
-// Command policy measures the decisions against baselines, on the pure packages and a fake clock, and writes tables and plots.
+// Command policy compares the production policies with baselines in simulations and writes tables
+// and plots.
 package main
--- a/cmd/policy/groups.go
+++ b/cmd/policy/groups.go
@@ -15,48 +15,50 @@
 )
 
 const (
-	// groupSeeds is how many seeds each pattern is played with, groupStep the time whose callers make one row and one point.
-	groupSeeds = 10
-	groupStep  = 4 * time.Second
+	// groupSeeds is the number of seeds per scenario, groupInterval the width of one table row and
+	// plot point.
+	groupSeeds    = 10
+	groupInterval = 4 * time.Second
 )
 
-// groups plays the patterns before a group of ranks, with a line and without, as a table and a plot each.
-func groups(f *os.File, out string) {
+// writeGroups runs the group scenarios with and without admission control and writes a table and
+// one plot per scenario.
+func writeGroups(f *os.File, out string) {
 	w := tabwriter.NewWriter(f, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nPATTERN\tLINE\tFROM\tON TIME\tLATE\tREFUSED")
-	for i, s := range trial.Patterns() {
+	for i, s := range trial.GroupScenarios() {
 		var curves []any
-		for _, line := range []bool{false, true} {
-			curves = append(curves, lineName(line), groupCurve(w, s, line))
+		for _, admission := range []bool{false, true} {
+			curves = append(curves, lineLabel(admission), writeGroupRows(w, s, admission))
 		}
 		must(drawGroup(filepath.Join(out, fmt.Sprintf("groups_%d.png", i)), s.Name, curves))
 	}
 	must(w.Flush())
 }
 
-func lineName(line bool) string {
-	if line {
+func lineLabel(admission bool) string {
+	if admission {
 		return "with a line"
 	}
 	return "without"
 }
 
-// groupCurve writes the rows of one pattern and returns the share of callers on time.
-func groupCurve(w *tabwriter.Writer, s *trial.GroupScenario, line bool) plotter.XYs {
+// writeGroupRows writes the rows of one scenario and returns the share of callers on time.
+func writeGroupRows(w *tabwriter.Writer, s *trial.GroupScenario, admission bool) plotter.XYs {
 	var curve plotter.XYs
-	for from := time.Duration(0); from+groupStep <= s.Lasts; from += groupStep {
+	for from := time.Duration(0); from+groupInterval <= s.Duration; from += groupInterval {
 		onTime, late, refused := 0.0, 0.0, 0.0
 		for n := range uint64(groupSeeds) {
-			r := trial.RunGroup(s, line, n+1)
-			a, b, c := r.Sum(trial.Span{
+			r := trial.RunGroup(s, admission, n+1)
+			a, b, c := r.Shares(trial.Span{
 				From: from,
-				To:   from + groupStep,
+				To:   from + groupInterval,
 			})
 			onTime += a / groupSeeds
 			late += b / groupSeeds
 			refused += c / groupSeeds
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%.2f\t%.2f\n", s.Name, lineName(line), from, onTime, late, refused)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%.2f\t%.2f\n", s.Name, lineLabel(admission), from, onTime, late, refused)
 		curve = append(curve, plotter.XY{
 			X: from.Seconds(),
 			Y: onTime,
--- a/cmd/policy/main.go
+++ b/cmd/policy/main.go
@@ -17,18 +17,18 @@
 var lags = []time.Duration{100 * time.Millisecond, time.Second, 5 * time.Second}
 
 func main() {
-	app := kingpin.New("policy", "Measures routing, admission and rebalancing against baselines.")
+	app := kingpin.New("policy", "Compares routing, admission and rebalancing with baselines.")
 	out := app.Flag("out", "Folder for tables and plots.").Default("out").String()
-	mapsOnly := app.Flag("maps-only", "Leave the targets out.").Bool()
+	mapsOnly := app.Flag("maps-only", "Skip the scenarios of latency targets.").Bool()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	must(os.MkdirAll(*out, 0o755))
 	f, err := os.Create(filepath.Join(*out, "policy.txt"))
 	must(err)
 	if !*mapsOnly {
-		targets(f)
+		writeTargets(f)
 	}
-	groups(f, *out)
-	maps(f, *out)
+	writeGroups(f, *out)
+	writeMaps(f, *out)
 	must(f.Close())
 	b, err := os.ReadFile(f.Name())
 	must(err)
@@ -42,8 +42,9 @@
 	}
 }
 
-// targets plays every scenario under every policy; only the product and the two that read reports depend on their lag.
-func targets(f *os.File) {
+// writeTargets runs every scenario under every policy. Only Product and TwoChoices are run with
+// every lag, because they depend on the lag of the reports.
+func writeTargets(f *os.File) {
 	w := tabwriter.NewWriter(f, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SCENARIO\tLAG\tPOLICY\tUSEFUL\tCLASS\tSENT\tON TIME\tP95\tP99\tREFUSALS\tUNFAIR\tRECOVERY")
 	for _, s := range trial.Scenarios() {
--- a/cmd/policy/maps.go
+++ b/cmd/policy/maps.go
@@ -16,12 +16,13 @@
 )
 
 const (
-	plotWidth  = 18 * vg.Centimeter
-	plotHeight = 12 * vg.Centimeter
-	perHour    = 3600
+	plotWidth      = 18 * vg.Centimeter
+	plotHeight     = 12 * vg.Centimeter
+	secondsPerHour = 3600
 )
 
-// The two users' targets, and those between and beside them that make the curve.
+// mapPolicies holds timers, the targets of the two users and further targets that complete the
+// curve.
 var mapPolicies = []trial.MapPolicy{
 	{Name: "never"},
 	{Name: "timer 60s, full", Timer: time.Minute},
@@ -33,8 +34,8 @@
 	{Name: "skew 0.5, 20 an hour", Target: &place.Target{Skew: 0.5, MovesPerHour: 20}},
 }
 
-// maps plays the drifts of popularity and draws skew against cost for each.
-func maps(f *os.File, out string) {
+// writeMaps runs the drift scenarios and plots skew against cost for each.
+func writeMaps(f *os.File, out string) {
 	w := tabwriter.NewWriter(f, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nDRIFT\tPOLICY\tSKEW P50\tSKEW P95\tSPREAD P95\tCOPIES/H\tSWITCHES\tIN SURGE\tLONGEST DECISION")
 	for i, s := range trial.MapScenarios() {
@@ -42,17 +43,17 @@
 		names := make([]string, 0, len(mapPolicies))
 		for _, p := range mapPolicies {
 			r := trial.RunMaps(s, p, seed)
-			cost := float64(r.Copies) / s.Lasts.Seconds() * perHour
-			fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.0f\t%d\t%d\t%s\n", r.Scenario, r.Policy, r.SkewP50, r.SkewP95, r.SpreadP95, cost, r.Switches, r.InSurge, r.Slowest.Round(10*time.Microsecond))
+			cost := float64(r.Copies) / s.Duration.Seconds() * secondsPerHour
+			fmt.Fprintf(w, "%s\t%s\t%.3f\t%.3f\t%.3f\t%.0f\t%d\t%d\t%s\n", r.Scenario, r.Policy, r.SkewP50, r.SkewP95, r.SpreadP95, cost, r.Switches, r.SwitchesInSurge, r.LongestDecision.Round(10*time.Microsecond))
 			points = append(points, plotter.XY{X: cost, Y: r.SkewP95})
 			names = append(names, p.Name)
 		}
-		must(draw(filepath.Join(out, fmt.Sprintf("maps_%d.png", i)), s.Name, points, names))
+		must(drawMaps(filepath.Join(out, fmt.Sprintf("maps_%d.png", i)), s.Name, points, names))
 	}
 	must(w.Flush())
 }
 
-func draw(file, title string, points plotter.XYs, names []string) error {
+func drawMaps(file, title string, points plotter.XYs, names []string) error {
 	p := plot.New()
 	p.Title.Text = "Skew against cost: " + title
 	p.X.Label.Text = "expert copies an hour"
--- a/cmd/soak/doc.go
+++ b/cmd/soak/doc.go
@@ -1,2 +1,3 @@
-// Command soak runs an example deployment under random failures for as long as it is told and ends at the first violation.
+// Command soak injects random faults into an example deployment for a given time and stops at the
+// first violation.
 package main
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -15,43 +15,43 @@
 const roundEvents = 20
 
 func main() {
-	app := kingpin.New("soak", "Breaks a whole deployment at random and checks what must always hold.")
-	binary := app.Flag("binary", "The geraniumpass program.").Required().ExistingFile()
+	app := kingpin.New("soak", "Injects random faults into a deployment and checks its invariants.")
+	binary := app.Flag("binary", "Path of the geraniumpass binary.").Required().ExistingFile()
 	file := app.Flag("plan", "Deployment to run.").Default("examples/reverbline.json").String()
-	lasts := app.Flag("lasts", "How long to go on.").Default("10m").Envar("LASTS").Duration()
-	seed := app.Flag("seed", "Seed of the first round; drawn when left out.").Default("0").Uint64()
-	onPlatform := app.Flag("platform", "Run the platform's roles instead of a deployment's.").Bool()
+	duration := app.Flag("lasts", "How long to run.").Default("10m").Envar("LASTS").Duration()
+	seed := app.Flag("seed", "Seed of the first round; random if omitted.").Default("0").Uint64()
+	onPlatform := app.Flag("platform", "Test the platform's roles instead of those of a deployment.").Bool()
 	kingpin.MustParse(app.Parse(os.Args[1:]))
 	if *seed == 0 {
 		*seed = rand.Uint64()
 	}
-	play := func(seed uint64) error { return platformRound(*binary, seed) }
+	runSeed := func(seed uint64) error { return platformRound(*binary, seed) }
 	if !*onPlatform {
 		plan, err := deploy.Load(*file)
 		if err != nil {
 			fmt.Fprintln(os.Stderr, err)
 			os.Exit(1)
 		}
-		play = func(seed uint64) error { return round(*binary, plan, seed) }
+		runSeed = func(seed uint64) error { return runRound(*binary, plan, seed) }
 	}
-	err := rounds(play, *seed, time.Now().Add(*lasts))
+	err := runRounds(runSeed, *seed, time.Now().Add(*duration))
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
 }
 
-// rounds plays rounds of events, each on a fresh deployment with the next seed.
-func rounds(play func(seed uint64) error, seed uint64, end time.Time) error {
-	for ; time.Now().Before(end); seed++ {
-		if err := play(seed); err != nil {
+// runRounds runs rounds until the deadline, each on a fresh deployment with the next seed.
+func runRounds(runSeed func(seed uint64) error, seed uint64, deadline time.Time) error {
+	for ; time.Now().Before(deadline); seed++ {
+		if err := runSeed(seed); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func round(binary string, plan *deploy.Plan, seed uint64) error {
+func runRound(binary string, plan *deploy.Plan, seed uint64) error {
 	dir, err := os.MkdirTemp("", "geraniumpass-soak-")
 	if err != nil {
 		return err
@@ -76,6 +76,6 @@
 		fmt.Println("logs are kept in", dir)
 		return err
 	}
-	fmt.Printf("  %v; %d changes accepted; whole again %s after the last harm\n", report.Verdicts, report.Accepted, report.Healed.Round(time.Millisecond))
+	fmt.Printf("  %v; %d changes accepted; recovered %s after the last fault\n", report.Verdicts, report.Accepted, report.RecoveryTime.Round(time.Millisecond))
 	return os.RemoveAll(dir)
 }
--- a/cmd/soak/platform.go
+++ b/cmd/soak/platform.go
@@ -9,13 +9,13 @@
 )
 
 const (
-	platformEvents  = 60
-	platformPause   = 250 * time.Millisecond
-	platformLongest = 2500 * time.Millisecond
-	platformCallers = 16
+	platformEvents      = 60
+	platformPause       = 250 * time.Millisecond
+	platformMaxDuration = 2500 * time.Millisecond
+	platformCallers     = 16
 )
 
-// platformRound plays one seed of the platform's roles; its logs are kept when it fails.
+// platformRound runs one seed of the platform's roles; the logs are kept if it fails.
 func platformRound(binary string, seed uint64) error {
 	dir, err := os.MkdirTemp("", "geraniumpass-soak-")
 	if err != nil {
@@ -27,13 +27,13 @@
 		Dir:     dir,
 		Events:  platformEvents,
 		Pause:   platformPause,
-		Longest: platformLongest,
+		Longest: platformMaxDuration,
 		Callers: platformCallers,
 	})
 	if err != nil {
 		fmt.Println("logs are kept in", dir)
 		return err
 	}
-	fmt.Printf("seed %d: %v; %d changes of map\n", seed, report.Answers, report.Switches)
+	fmt.Printf("seed %d: %v; %d map switches\n", seed, report.Answers, report.Switches)
 	return os.RemoveAll(dir)
 }
--- a/trial/doc.go
+++ b/trial/doc.go
@@ -1,3 +1,3 @@
-// Package trial drives the decisions that ship (routing, queueing, the line before engines, returns, placement) with small fakes and a fake
-// clock, to measure them against baselines.
+// Package trial simulates the production decision code (routing, queueing, admission, retry
+// backoff, placement) with small fakes and a fake clock, to compare it with baselines.
 package trial
--- a/trial/event.go
+++ b/trial/event.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// event is something that happens at a moment; seq keeps those of one moment in order.
+// event is a callback scheduled for a time; seq orders events of the same time.
 type event struct {
 	at  time.Duration
 	seq int
@@ -31,14 +31,14 @@
 	return x
 }
 
-// clock runs events in the order of their moments.
+// clock is a simulated clock that runs events in time order.
 type clock struct {
 	now    time.Duration
 	seq    int
 	events eventHeap
 }
 
-// epoch is the moment at which trials begin.
+// epoch is the simulated start time of every trial.
 var epoch = time.Unix(1_800_000_000, 0)
 
 func (c *clock) time() time.Time {
--- a/trial/group.go
+++ b/trial/group.go
@@ -8,51 +8,55 @@
 )
 
 const (
-	groupEntries = 9
-	groupAim     = 400 * time.Millisecond
-	groupPause   = 120 * time.Millisecond
-	// callerTime is how long a caller waits in all, callerPatience for the first event or between two.
-	callerTime     = 8 * time.Second
-	callerPatience = 2 * time.Second
-	// lineTime is how long a request waits in line at most, as the gate has it.
-	lineTime = 950 * time.Millisecond
-	// groupWindow is the time whose callers are counted together.
-	groupWindow = 2 * time.Second
-	pollLines   = 30 * time.Millisecond
-	probeLines  = 90 * time.Millisecond
-	// reportTrust is how much of others' load an entry sees: an answer tells it, and half of it is forgotten within a second.
-	reportTrust = 0.7
+	groupEntries  = 9
+	groupTarget   = 400 * time.Millisecond
+	groupEventGap = 120 * time.Millisecond
+	// callerDeadline is the total time of a caller; callerIdleTimeout is how long it waits for the
+	// first event and between two events.
+	callerDeadline    = 8 * time.Second
+	callerIdleTimeout = 2 * time.Second
+	// maxAdmissionWait is the longest time in the admission queue, as in the gate.
+	maxAdmissionWait = 950 * time.Millisecond
+	// groupWindow is the width of a result window.
+	groupWindow   = 2 * time.Second
+	pollInterval  = 30 * time.Millisecond
+	probeInterval = 90 * time.Millisecond
+	// knownLoadShare is the part of the other entries' load that an entry knows: it learns the load
+	// from answers, and half of it expires within a second.
+	knownLoadShare = 0.7
 )
 
-// GroupScenario is what callers and faults do to a group of ranks.
+// GroupScenario describes the load and the faults of a group of ranks.
 type GroupScenario struct {
-	Name  string
-	Lasts time.Duration
-	// Rate is how many streams are asked for in a second at a moment.
+	Name     string
+	Duration time.Duration
+	// Rate returns the arriving streams per second.
 	Rate func(at time.Duration) float64
-	// Dark are times in which the group is broken, Still those in which it stands with all that it has.
-	Dark  []Span
-	Still []Span
+	// Outages are spans in which the group is down; Stalls are spans in which it makes no progress
+	// but loses nothing.
+	Outages []Span
+	Stalls  []Span
 }
 
-// GroupResult counts callers by the window in which they first asked.
+// GroupResult counts callers by the window of their first attempt.
 type GroupResult struct {
-	Asked   []int
+	Arrived []int
 	OnTime  []int
 	Late    []int
 	Refused []int
 	Failed  []int
 }
 
-// Sum returns the counts of the windows that begin within a span, as shares of those who asked.
-func (r *GroupResult) Sum(s Span) (onTime, late, refused float64) {
+// Shares returns the outcomes of the windows that begin within a span, as shares of the callers
+// that arrived in them.
+func (r *GroupResult) Shares(s Span) (onTime, late, refused float64) {
 	asked := 0
 	var n [3]int
-	for w := range r.Asked {
+	for w := range r.Arrived {
 		if at := time.Duration(w) * groupWindow; at < s.From || at >= s.To {
 			continue
 		}
-		asked += r.Asked[w]
+		asked += r.Arrived[w]
 		n[0] += r.OnTime[w]
 		n[1] += r.Late[w]
 		n[2] += r.Refused[w]
@@ -60,66 +64,66 @@
 	return ratio(n[0], asked), ratio(n[1], asked), ratio(n[2], asked)
 }
 
-// groupWorld is a trial of entries before one group.
+// groupWorld is the state of one trial with several entries in front of one group.
 type groupWorld struct {
 	clock
 	scenario *GroupScenario
 	random   *rand.Rand
-	group    *ranks
-	// lines is nil where entries send whatever comes at once.
-	lines []*admit.Controller
-	// pending are the callers whose tickets are not decided yet.
-	pending []*groupCaller
-	own     [groupEntries][groupRanks]int
-	result  GroupResult
+	group    *rankGroup
+	// controllers is nil if entries send requests without admission control.
+	controllers []*admit.Controller
+	// pending are the callers whose tickets are undecided.
+	pending  []*groupCaller
+	inFlight [groupEntries][groupRanks]int
+	result   GroupResult
 }
 
-// RunGroup plays a scenario from a seed, with a line before the group or without.
-func RunGroup(s *GroupScenario, line bool, seed uint64) GroupResult {
+// RunGroup simulates a scenario from a seed, with or without admission control.
+func RunGroup(s *GroupScenario, admission bool, seed uint64) GroupResult {
 	w := &groupWorld{
 		scenario: s,
 		random:   rand.New(rand.NewPCG(seed, seed)),
 	}
-	w.group = &ranks{
-		clock: &w.clock,
-		dark:  s.Dark,
-		still: s.Still,
+	w.group = &rankGroup{
+		clock:   &w.clock,
+		outages: s.Outages,
+		stalls:  s.Stalls,
 	}
-	if line {
+	if admission {
 		for range groupEntries {
-			w.lines = append(w.lines, admit.NewController(probeLines))
+			w.controllers = append(w.controllers, admit.NewController(probeInterval))
 		}
-		w.after(pollLines, w.poll)
+		w.after(pollInterval, w.poll)
 	}
-	windows := int(s.Lasts/groupWindow) + 1
-	for _, c := range []*[]int{&w.result.Asked, &w.result.OnTime, &w.result.Late, &w.result.Refused, &w.result.Failed} {
+	windows := int(s.Duration/groupWindow) + 1
+	for _, c := range []*[]int{&w.result.Arrived, &w.result.OnTime, &w.result.Late, &w.result.Refused, &w.result.Failed} {
 		*c = make([]int, windows)
 	}
-	w.after(0, w.group.pass)
+	w.after(0, w.group.beginPass)
 	w.after(0, w.arrive)
-	w.run(s.Lasts + callerTime)
+	w.run(s.Duration + callerDeadline)
 	return w.result
 }
 
 func (w *groupWorld) poll() {
-	for _, l := range w.lines {
+	for _, l := range w.controllers {
 		l.Poll(w.time())
 	}
-	w.settle()
-	w.after(pollLines, w.poll)
+	w.processDecided()
+	w.after(pollInterval, w.poll)
 }
 
-// arrive has a caller come and draws when the next one does.
+// arrive submits the request of a new caller and schedules the next arrival.
 func (w *groupWorld) arrive() {
-	if w.now >= w.scenario.Lasts {
+	if w.now >= w.scenario.Duration {
 		return
 	}
 	c := &groupCaller{
-		w:      w,
-		window: int(w.now / groupWindow),
-		asked:  w.now,
+		w:       w,
+		window:  int(w.now / groupWindow),
+		arrived: w.now,
 	}
-	w.result.Asked[c.window]++
-	c.ask()
+	w.result.Arrived[c.window]++
+	c.submit()
 	w.after(time.Duration(w.random.ExpFloat64()/w.scenario.Rate(w.now)*float64(time.Second)), w.arrive)
 }
--- a/trial/group_test.go
+++ b/trial/group_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestLineBeforeAGroup plays the patterns that the line answers, ten seeds each. The figures are those of the model with half of the gain
-// left as room: 0.13 to 0.26 of a surge's callers are on time with a line and none without, and two seconds after the surge 0.86 against 0.08.
-func TestLineBeforeAGroup(t *testing.T) {
+// TestAdmissionBeforeGroup guards the benefit of admission control in surges, outages and stalls.
+// The bounds leave half of the gain as a margin: with admission control 0.13 to 0.26 of the callers
+// in a surge are on time, none without; two seconds after the surge it is 0.86 against 0.08.
+func TestAdmissionBeforeGroup(t *testing.T) {
 	const seeds = 10
 	seconds := func(from, to int) Span {
 		return Span{From: time.Duration(from) * time.Second, To: time.Duration(to) * time.Second}
@@ -16,7 +17,8 @@
 		name    string
 		pattern int
 		span    Span
-		// least is the part of the callers who have to be on time with the line, most that without it.
+		// least is the minimum share of callers on time with admission control, most the maximum
+		// without it.
 		least float64
 		most  float64
 	}{
@@ -30,31 +32,31 @@
 		t.Run(tt.name, func(t *testing.T) {
 			with, without := 0.0, 0.0
 			for seed := range uint64(seeds) {
-				r := RunGroup(Patterns()[tt.pattern], true, seed+1)
-				onTime, _, _ := r.Sum(tt.span)
+				r := RunGroup(GroupScenarios()[tt.pattern], true, seed+1)
+				onTime, _, _ := r.Shares(tt.span)
 				with += onTime / seeds
-				r = RunGroup(Patterns()[tt.pattern], false, seed+1)
-				onTime, _, _ = r.Sum(tt.span)
+				r = RunGroup(GroupScenarios()[tt.pattern], false, seed+1)
+				onTime, _, _ = r.Shares(tt.span)
 				without += onTime / seeds
 			}
 			if with < tt.least {
-				t.Errorf("%.3f are on time with a line, want %.3f", with, tt.least)
+				t.Errorf("with admission control, %.3f of the callers are on time, want at least %.3f", with, tt.least)
 			}
 			if without > tt.most {
-				t.Errorf("%.3f are on time without a line, more than %.3f: the pattern shows nothing", without, tt.most)
+				t.Errorf("without admission control, %.3f of the callers are on time, want at most %.3f: the scenario shows no benefit", without, tt.most)
 			}
 		})
 	}
 }
 
-// TestEveryCallerIsCountedOnce fails when the model loses callers or answers one twice.
+// TestEveryCallerIsCountedOnce guards against a simulation that loses callers or counts one twice.
 func TestEveryCallerIsCountedOnce(t *testing.T) {
-	for _, s := range Patterns() {
-		for _, line := range []bool{false, true} {
-			r := RunGroup(s, line, 1)
-			for w := range r.Asked {
-				if n := r.OnTime[w] + r.Late[w] + r.Refused[w] + r.Failed[w]; n != r.Asked[w] {
-					t.Errorf("%s, line %v: %d asked in window %d, %d counted", s.Name, line, r.Asked[w], w, n)
+	for _, s := range GroupScenarios() {
+		for _, admission := range []bool{false, true} {
+			r := RunGroup(s, admission, 1)
+			for w := range r.Arrived {
+				if n := r.OnTime[w] + r.Late[w] + r.Refused[w] + r.Failed[w]; n != r.Arrived[w] {
+					t.Errorf("%s, admission control %v: %d callers arrived in window %d, %d counted", s.Name, admission, r.Arrived[w], w, n)
 				}
 			}
 		}
--- a/trial/groupcaller.go
+++ b/trial/groupcaller.go
@@ -9,48 +9,50 @@
 	"geraniumpass/route"
 )
 
-// groupCaller is one caller with its request.
+// groupCaller is a caller with one request.
 type groupCaller struct {
-	w      *groupWorld
-	window int
-	asked  time.Duration
-	entry  int
-	rank   int
-	again  bool
-	// begun is true once an event has come, late once one came too late; last is when the last one came.
-	begun  bool
-	late   bool
-	last   time.Duration
-	done   bool
-	stream *stream
-	ticket *admit.Ticket
+	w       *groupWorld
+	window  int
+	arrived time.Duration
+	entry   int
+	rank    int
+	retried bool
+	// started is set by the first event, late by an event after its deadline; lastEvent is the time
+	// of the latest event.
+	started   bool
+	late      bool
+	lastEvent time.Duration
+	done      bool
+	stream    *stream
+	ticket    *admit.Ticket
 }
 
-// ask sends the caller's request to an entry.
-func (c *groupCaller) ask() {
+// submit sends the request to a random entry.
+func (c *groupCaller) submit() {
 	w := c.w
 	c.entry = w.random.IntN(groupEntries)
-	c.last = w.now
-	if w.lines == nil {
+	c.lastEvent = w.now
+	if w.controllers == nil {
 		c.send()
 		return
 	}
-	onTime := w.time().Add(groupAim)
-	if c.again && w.now-c.asked > callerTime/5 {
-		// An entry sees from the time left that such a caller has been here before.
-		onTime = epoch.Add(c.asked + groupAim)
+	onTime := w.time().Add(groupTarget)
+	if c.retried && w.now-c.arrived > callerDeadline/5 {
+		// The remaining time shows the entry that this is a retry, so the target counts from the
+		// first attempt.
+		onTime = epoch.Add(c.arrived + groupTarget)
 	}
-	c.ticket = w.lines[c.entry].Submit(w.time(), admit.Request{
-		Target:  groupAim,
+	c.ticket = w.controllers[c.entry].Submit(w.time(), admit.Request{
+		Target:  groupTarget,
 		StartBy: onTime,
-		SendBy:  w.time().Add(lineTime),
+		SendBy:  w.time().Add(maxAdmissionWait),
 	})
 	w.pending = append(w.pending, c)
-	w.settle()
+	w.processDecided()
 }
 
-// settle acts on the tickets that have been decided.
-func (w *groupWorld) settle() {
+// processDecided sends or refuses the requests whose tickets have been decided.
+func (w *groupWorld) processDecided() {
 	for _, c := range slices.Clone(w.pending) {
 		state := c.ticket.State()
 		if state == admit.StateWaiting {
@@ -60,118 +62,119 @@
 		if state == admit.StateSent {
 			c.send()
 		} else {
-			c.refused()
+			c.onRefused()
 		}
 	}
 }
 
-// send gives the request to the rank with the least load as its entry sees it.
+// send dispatches the request to the rank that is least loaded from the view of its entry.
 func (c *groupCaller) send() {
 	w := c.w
-	seen := make([]route.InstanceView, groupRanks)
-	for r := range seen {
-		seen[r] = route.InstanceView{
-			Load:  float64(w.own[c.entry][r]) + w.others(c.entry, r),
+	views := make([]route.InstanceView, groupRanks)
+	for r := range views {
+		views[r] = route.InstanceView{
+			Load:  float64(w.inFlight[c.entry][r]) + w.othersLoad(c.entry, r),
 			Slots: groupSlots,
 		}
 	}
-	c.rank = route.LeastLoaded(seen, "", w.random)
-	s := drawn(w.random)
-	s.begun = c.began
-	s.event = c.event
-	s.over = c.over
+	c.rank = route.LeastLoaded(views, "", w.random)
+	s := newStream(w.random)
+	s.onStart = c.onStart
+	s.onEvent = c.onEvent
+	s.onEnd = c.onEnd
 	c.stream = s
 	if !w.group.send(c.rank, s) {
-		w.failed(c, true)
-		c.refused()
+		w.reportFailure(c, true)
+		c.onRefused()
 		return
 	}
-	w.own[c.entry][c.rank]++
-	w.after(callerPatience, func() { c.leave(s) })
+	w.inFlight[c.entry][c.rank]++
+	w.after(callerIdleTimeout, func() { c.abandonIfIdle(s) })
 }
 
-// others is the load that other entries gave a rank as its last answer told this one, with a lag of about one answer.
-func (w *groupWorld) others(entry, rank int) float64 {
+// othersLoad estimates the load that other entries put on a rank. Reports arrive with answers and
+// are about one answer old, which knownLoadShare accounts for.
+func (w *groupWorld) othersLoad(entry, rank int) float64 {
 	running, waiting := w.group.load(rank)
-	return float64(running+waiting-w.own[entry][rank]) * reportTrust
+	return float64(running+waiting-w.inFlight[entry][rank]) * knownLoadShare
 }
 
-func (c *groupCaller) began(full bool) {
-	c.late = c.late || c.w.now-c.asked > groupAim
-	c.begun = true
-	c.last = c.w.now
-	if c.w.lines != nil {
-		c.w.lines[c.entry].Started(c.w.time(), c.ticket, full)
-		c.w.settle()
+func (c *groupCaller) onStart(full bool) {
+	c.late = c.late || c.w.now-c.arrived > groupTarget
+	c.started = true
+	c.lastEvent = c.w.now
+	if c.w.controllers != nil {
+		c.w.controllers[c.entry].Started(c.w.time(), c.ticket, full)
+		c.w.processDecided()
 	}
 }
 
-func (c *groupCaller) event() {
-	c.late = c.late || c.w.now-c.last > groupPause
-	c.last = c.w.now
+func (c *groupCaller) onEvent() {
+	c.late = c.late || c.w.now-c.lastEvent > groupEventGap
+	c.lastEvent = c.w.now
 }
 
-// over is the end of the request at its rank.
-func (c *groupCaller) over(whole bool) {
+// onEnd handles the end of the request at its rank.
+func (c *groupCaller) onEnd(completed bool) {
 	w := c.w
-	w.own[c.entry][c.rank]--
-	c.stream.gone = true
+	w.inFlight[c.entry][c.rank]--
+	c.stream.closed = true
 	switch {
-	case whole && c.late:
+	case completed && c.late:
 		c.count(w.result.Late)
-	case whole:
+	case completed:
 		c.count(w.result.OnTime)
-	case c.begun || c.again:
-		w.failed(c, true)
+	case c.started || c.retried:
+		w.reportFailure(c, true)
 		c.count(w.result.Failed)
 	default:
-		w.failed(c, true)
-		c.refused()
+		w.reportFailure(c, true)
+		c.onRefused()
 	}
 }
 
-// leave ends the request of a caller whose patience is over.
-func (c *groupCaller) leave(s *stream) {
+// abandonIfIdle ends the request if its caller has waited callerIdleTimeout for an event.
+func (c *groupCaller) abandonIfIdle(s *stream) {
 	w := c.w
-	if c.done || s.gone || c.stream != s {
+	if c.done || s.closed || c.stream != s {
 		return
 	}
-	if quiet := w.now - c.last; quiet < callerPatience {
-		w.after(callerPatience-quiet, func() { c.leave(s) })
+	if idle := w.now - c.lastEvent; idle < callerIdleTimeout {
+		w.after(callerIdleTimeout-idle, func() { c.abandonIfIdle(s) })
 		return
 	}
-	s.gone = true
-	w.own[c.entry][c.rank]--
-	w.failed(c, false)
+	s.closed = true
+	w.inFlight[c.entry][c.rank]--
+	w.reportFailure(c, false)
 	c.count(w.result.Failed)
 }
 
-// failed tells the line that a request has ended without a beginning.
-func (w *groupWorld) failed(c *groupCaller, refused bool) {
-	if w.lines != nil && !c.begun {
-		w.lines[c.entry].Failed(w.time(), c.ticket, refused)
-		w.settle()
+// reportFailure reports to the admission controller that a request ended before it started.
+func (w *groupWorld) reportFailure(c *groupCaller, refused bool) {
+	if w.controllers != nil && !c.started {
+		w.controllers[c.entry].Failed(w.time(), c.ticket, refused)
+		w.processDecided()
 	}
 }
 
-// refused has the caller return once.
-func (c *groupCaller) refused() {
+// onRefused schedules the caller's only retry, or counts the refusal of that retry.
+func (c *groupCaller) onRefused() {
 	w := c.w
-	if c.again {
+	if c.retried {
 		c.count(w.result.Refused)
 		return
 	}
-	c.again = true
+	c.retried = true
 	w.after(retry.Backoff(retry.Rejection{
-		TargetLatency: groupAim,
-		Remaining:     callerTime - (w.now - c.asked),
-		Unavailable:   within(w.scenario.Dark, w.now),
-	}, w.random.IntN), c.ask)
+		TargetLatency: groupTarget,
+		Remaining:     callerDeadline - (w.now - c.arrived),
+		Unavailable:   inAnySpan(w.scenario.Outages, w.now),
+	}, w.random.IntN), c.submit)
 }
 
-func (c *groupCaller) count(in []int) {
+func (c *groupCaller) count(windows []int) {
 	if !c.done {
 		c.done = true
-		in[c.window]++
+		windows[c.window]++
 	}
 }
--- a/trial/maps.go
+++ b/trial/maps.go
@@ -9,52 +9,54 @@
 	"geraniumpass/place"
 )
 
-// MapScenario is a group whose experts' popularity drifts.
+// MapScenario describes a group whose expert popularity drifts.
 type MapScenario struct {
-	Name    string
-	Experts int
-	Ranks   int
-	Slots   int
-	Lasts   time.Duration
-	// Popularity returns the tokens that each expert draws at a moment.
+	Name     string
+	Experts  int
+	Ranks    int
+	Slots    int
+	Duration time.Duration
+	// Popularity returns the number of tokens routed to each expert.
 	Popularity func(at time.Duration) []float64
-	// Surge returns true while a surge lasts.
+	// Surge reports whether a traffic surge is in progress.
 	Surge func(at time.Duration) bool
 }
 
-// MapPolicy decides on placements.
+// MapPolicy is a rule for changing placements.
 type MapPolicy struct {
 	Name string
-	// Target is used by the rebalancer; a timer replaces everything each Timer instead, or only improves with TimerImproves.
+	// Target configures the rebalancer. Without it, the placement is rebuilt every Timer (never if
+	// zero), or only improved if TimerImproves is set.
 	Target        *place.Target
 	Timer         time.Duration
 	TimerImproves bool
 }
 
-// MapResult is what a placement policy has cost and reached.
+// MapResult holds the cost and the achieved balance of a placement policy.
 type MapResult struct {
 	Scenario string
 	Policy   string
-	// SkewP50 and SkewP95 are quantiles over the steps of the slowest rank's load above the mean, which is the load of the best
-	// fractional placement; SpreadP95 is that of the distance between slowest and fastest.
-	SkewP50   float64
-	SkewP95   float64
-	SpreadP95 float64
-	Copies    int
-	Switches  int
-	InSurge   int
-	Slowest   time.Duration
+	// SkewP50 and SkewP95 are quantiles over the steps of the slowest rank's load relative to the
+	// mean, which is the load under the best fractional placement. SpreadP95 is a quantile of the
+	// difference between the slowest and the fastest rank.
+	SkewP50         float64
+	SkewP95         float64
+	SpreadP95       float64
+	Copies          int
+	Switches        int
+	SwitchesInSurge int
+	LongestDecision time.Duration
 }
 
 const (
-	mapTick     = time.Second
-	decideEvery = 2 * time.Second
-	// observeLag is how late the popularity is known.
+	mapInterval    = time.Second
+	decideInterval = 2 * time.Second
+	// observeLag is the delay after which the popularity is known.
 	observeLag = time.Second
 	copyCost   = 10 * time.Millisecond
 )
 
-// RunMaps plays a scenario under a policy; noise is drawn from the seed.
+// RunMaps simulates a scenario under a policy, with noise drawn from the seed.
 func RunMaps(s *MapScenario, p MapPolicy, seed uint64) MapResult {
 	random := rand.New(rand.NewPCG(seed, 2))
 	current := place.Even(s.Experts, s.Ranks, s.Slots)
@@ -67,12 +69,12 @@
 		balancer = place.NewRebalancer(*p.Target, place.Cost{PerCopy: copyCost})
 	}
 	var skews, spreads []float64
-	for at := time.Duration(0); at < s.Lasts; at += mapTick {
-		load := noisy(s.Popularity(at), random)
+	for at := time.Duration(0); at < s.Duration; at += mapInterval {
+		load := withNoise(s.Popularity(at), random)
 		skews = append(skews, current.Skew(load))
 		spreads = append(spreads, current.Spread(load))
-		seen := noisy(s.Popularity(max(at-observeLag, 0)), random)
-		next := decide(s, p, balancer, current, seen, at, &r)
+		observed := withNoise(s.Popularity(max(at-observeLag, 0)), random)
+		next := decide(s, p, balancer, current, observed, at, &r)
 		if next == nil {
 			continue
 		}
@@ -80,23 +82,23 @@
 		r.Copies += copies
 		r.Switches++
 		if s.Surge(at) {
-			r.InSurge++
+			r.SwitchesInSurge++
 		}
 		current = next
 	}
-	r.SkewP50, r.SkewP95 = of(skews, 0.5), of(skews, 0.95)
-	r.SpreadP95 = of(spreads, 0.95)
+	r.SkewP50, r.SkewP95 = floatQuantile(skews, 0.5), floatQuantile(skews, 0.95)
+	r.SpreadP95 = floatQuantile(spreads, 0.95)
 	return r
 }
 
-func decide(s *MapScenario, p MapPolicy, b *place.Rebalancer, current *place.Placement, seen []float64, at time.Duration, r *MapResult) *place.Placement {
+func decide(s *MapScenario, p MapPolicy, b *place.Rebalancer, current *place.Placement, observed []float64, at time.Duration, r *MapResult) *place.Placement {
 	now := epoch.Add(at)
 	started := time.Now()
-	defer func() { r.Slowest = max(r.Slowest, time.Since(started)) }()
+	defer func() { r.LongestDecision = max(r.LongestDecision, time.Since(started)) }()
 	switch {
 	case b != nil:
-		b.Observe(now, seen)
-		if at%decideEvery != 0 {
+		b.Observe(now, observed)
+		if at%decideInterval != 0 {
 			return nil
 		}
 		if d := b.Decide(now, current, s.Surge(at)); d.Verdict == place.VerdictMove {
@@ -104,9 +106,9 @@
 		}
 	case p.Timer > 0 && at > 0 && at%p.Timer == 0:
 		if !p.TimerImproves {
-			return place.Rebuild(seen, s.Ranks, s.Slots)
+			return place.Rebuild(observed, s.Ranks, s.Slots)
 		}
-		next, copies := place.Improve(current, seen, 0, s.Ranks*s.Slots)
+		next, copies := place.Improve(current, observed, 0, s.Ranks*s.Slots)
 		if copies > 0 {
 			return next
 		}
@@ -114,7 +116,7 @@
 	return nil
 }
 
-func noisy(p []float64, random *rand.Rand) []float64 {
+func withNoise(p []float64, random *rand.Rand) []float64 {
 	const noise = 0.05
 	out := make([]float64, len(p))
 	for i, v := range p {
@@ -123,47 +125,48 @@
 	return out
 }
 
-func of(list []float64, q float64) float64 {
+func floatQuantile(list []float64, q float64) float64 {
 	sorted := append([]float64{}, list...)
 	sort.Float64s(sorted)
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// MapScenarios returns drifts by season, by spell and by sudden burst, at today's size and, for the cost, at the target's.
+// MapScenarios returns slow, medium and sudden drifts at the current size, and one at the target
+// size to assess the cost of a decision.
 func MapScenarios() []*MapScenario {
-	const lasts = 2 * time.Hour
-	morning := func(at time.Duration) bool { return at > 40*time.Minute && at < 60*time.Minute }
-	never := func(time.Duration) bool { return false }
-	today := func(name string, p func(time.Duration) []float64, surge func(time.Duration) bool) *MapScenario {
+	const duration = 2 * time.Hour
+	morningSurge := func(at time.Duration) bool { return at > 40*time.Minute && at < 60*time.Minute }
+	noSurge := func(time.Duration) bool { return false }
+	currentSize := func(name string, p func(time.Duration) []float64, surge func(time.Duration) bool) *MapScenario {
 		return &MapScenario{
 			Name:       name,
 			Experts:    64,
 			Ranks:      12,
 			Slots:      8,
-			Lasts:      lasts,
+			Duration:   duration,
 			Popularity: p,
 			Surge:      surge,
 		}
 	}
 	return []*MapScenario{
-		today("season", blend(64, 1, lasts, 0.7), never),
-		today("spells", blend(64, 2, 20*time.Minute, 0.7), never),
-		today("bursts", burst(64, 3), never),
-		today("morning surge", blend(64, 4, 15*time.Minute, 0.9), morning),
+		currentSize("season", drift(64, 1, duration, 0.7), noSurge),
+		currentSize("spells", drift(64, 2, 20*time.Minute, 0.7), noSurge),
+		currentSize("bursts", burst(64, 3), noSurge),
+		currentSize("morning surge", drift(64, 4, 15*time.Minute, 0.9), morningSurge),
 		{
 			Name:       "spells at the target's size",
 			Experts:    128,
 			Ranks:      256,
 			Slots:      2,
-			Lasts:      20 * time.Minute,
-			Popularity: blend(128, 5, 20*time.Minute, 0.5),
-			Surge:      never,
+			Duration:   20 * time.Minute,
+			Popularity: drift(128, 5, 20*time.Minute, 0.5),
+			Surge:      noSurge,
 		},
 	}
 }
 
-// blend goes over from one popularity to the next in each period.
-func blend(experts int, seed uint64, period time.Duration, exponent float64) func(time.Duration) []float64 {
+// drift interpolates linearly between random popularities, one for each period.
+func drift(experts int, seed uint64, period time.Duration, exponent float64) func(time.Duration) []float64 {
 	shapes := make(map[int][]float64)
 	shape := func(k int) []float64 {
 		if shapes[k] == nil {
@@ -183,7 +186,7 @@
 	}
 }
 
-// burst makes a few experts hot for two minutes in every ten.
+// burst makes a few experts hot for two minutes out of every ten.
 func burst(experts int, seed uint64) func(time.Duration) []float64 {
 	base := zipf(experts, 0.5, seed)
 	return func(at time.Duration) []float64 {
--- a/trial/policy.go
+++ b/trial/policy.go
@@ -8,10 +8,10 @@
 	"geraniumpass/route"
 )
 
-// Policy is a way to choose upstreams and to order and admit work.
+// Policy is a method of choosing upstreams and of ordering and admitting work.
 type Policy string
 
-// The policies that are compared; Bound has one queue that sees everything without lag.
+// The compared policies. Bound is the ideal: a single queue with complete and current information.
 const (
 	Product          Policy = "geraniumpass"
 	RoundRobin       Policy = "round robin"
@@ -21,10 +21,11 @@
 	Bound            Policy = "bound"
 )
 
-// Policies lists all in the order of the tables.
+// Policies lists all policies in the order of the tables.
 var Policies = []Policy{Product, RoundRobin, LeastOutstanding, TwoChoices, NoAdmission, Bound}
 
-// baselineLimit is what the baselines run at once: the knee, which they are given though the product must learn it.
+// baselineLimit is the concurrency limit of the baselines. They are given the knee, which the
+// product has to learn.
 const baselineLimit = knee
 
 func (p Policy) discipline() discipline {
@@ -39,14 +40,14 @@
 	return discipline{fixedLimit: baselineLimit}
 }
 
-// entry is one entry's view in a trial.
+// entry is the view of one entry in a trial.
 type entry struct {
-	w      *world
-	domain int
-	turn   int
-	own    []float64
-	log    []sentCost
-	picker route.Picker
+	w            *world
+	domain       int
+	nextIndex    int
+	inFlightCost []float64
+	sent         []sentCost
+	picker       route.Picker
 }
 
 type sentCost struct {
@@ -57,10 +58,10 @@
 
 func newEntry(w *world, i int, random *rand.Rand) *entry {
 	return &entry{
-		w:      w,
-		domain: i % domains,
-		turn:   i,
-		own:    make([]float64, upstreams),
+		w:            w,
+		domain:       i % domains,
+		nextIndex:    i,
+		inFlightCost: make([]float64, upstreams),
 		picker: route.Picker{
 			Domain: string(rune('A' + i%domains)),
 			Random: random,
@@ -71,28 +72,29 @@
 // sentSince returns the cost that this entry has sent to an upstream since a report was made.
 func (e *entry) sentSince(to int, at time.Duration) float64 {
 	sum := 0.0
-	for i := len(e.log) - 1; i >= 0 && e.log[i].at >= at; i-- {
-		if e.log[i].to == to {
-			sum += e.log[i].cost
+	for i := len(e.sent) - 1; i >= 0 && e.sent[i].at >= at; i-- {
+		if e.sent[i].to == to {
+			sum += e.sent[i].cost
 		}
 	}
 	return sum
 }
 
 func (e *entry) send(j *job, to int) {
-	e.own[to] += j.cost
-	e.log = append(e.log, sentCost{
+	e.inFlightCost[to] += j.cost
+	e.sent = append(e.sent, sentCost{
 		at:   e.w.now,
 		to:   to,
 		cost: j.cost,
 	})
-	if len(e.log) > 1<<14 {
-		e.log = append([]sentCost{}, e.log[1<<13:]...)
+	if len(e.sent) > 1<<14 {
+		e.sent = append([]sentCost{}, e.sent[1<<13:]...)
 	}
-	e.w.upstreams[to].offer(j)
+	e.w.upstreams[to].enqueue(j)
 }
 
-// route chooses an upstream by the policy and returns false when the request is refused at the entry.
+// route dispatches a job according to the policy and reports whether an upstream was available for
+// it.
 func (e *entry) route(j *job) bool {
 	w := e.w
 	switch w.policy {
@@ -100,14 +102,14 @@
 		e.send(j, 0)
 		return true
 	case RoundRobin:
-		e.turn++
-		e.send(j, e.turn%upstreams)
+		e.nextIndex++
+		e.send(j, e.nextIndex%upstreams)
 		return true
 	case LeastOutstanding:
-		best := e.turn % upstreams
-		e.turn++
-		for u := range e.own {
-			if e.own[u] < e.own[best] {
+		best := e.nextIndex % upstreams
+		e.nextIndex++
+		for u := range e.inFlightCost {
+			if e.inFlightCost[u] < e.inFlightCost[best] {
 				best = u
 			}
 		}
@@ -127,13 +129,13 @@
 			ids = append(ids, u.id)
 		}
 	}
-	within := w.scenario.Classes[j.class].Within
-	choice, ok := e.picker.Pick(candidates, route.Request{LatencyTarget: within})
+	target := w.scenario.Classes[j.class].LatencyTarget
+	choice, ok := e.picker.Pick(candidates, route.Request{LatencyTarget: target})
 	if !ok {
 		return false
 	}
-	if w.policy == Product && j.hops == 0 && choice.Wait > time.Duration(float64(within-(w.now-j.came))*queue.Headroom) {
-		w.giveUp(j, choice.Wait)
+	if w.policy == Product && j.hops == 0 && choice.Wait > time.Duration(float64(target-(w.now-j.arrived))*queue.Headroom) {
+		w.reject(j, choice.Wait)
 		return true
 	}
 	e.send(j, ids[choice.Index])
--- a/trial/ranks.go
+++ b/trial/ranks.go
@@ -6,34 +6,37 @@
 	"time"
 )
 
-// The engines of a group as the users' deployments describe them, the step's times by token: a pass makes one event of every stream that runs.
+// Engine parameters of a group, as in the users' deployments. Step times are per token; a pass
+// produces one event of eventTokens tokens for each running stream.
 const (
 	groupRanks   = 16
 	groupSlots   = 12
 	groupQueue   = 24
 	eventTokens  = 5
-	stepTime     = 5850 * time.Microsecond
+	baseStepTime = 5850 * time.Microsecond
 	slotTime     = 355 * time.Microsecond
 	tokensPerMS  = 61.2
 	meanPrompt   = 835.0
 	meanEvents   = 27.8
-	mostEvents   = 70
+	maxEvents    = 70
 	eventsSpread = 0.7
-	// promptSpread is less than that of the users' prompts, of which engines read long ones in pieces over several passes.
+	// promptSpread is smaller than the spread of the users' prompts, because engines process long
+	// prompts in chunks over several passes.
 	promptSpread = 0.4
-	// imbalance is what the most loaded rank adds to the part of a step that its requests take, in calm: 0.85 of 0.4 above the mean.
+	// imbalance is the factor by which the most loaded rank lengthens the request-dependent part of
+	// a step at normal load: 1 + 0.85 * 0.4, where 0.4 is its load above the mean.
 	imbalance = 1.34
-	// idlePass is how often an idle group looks for work.
-	idlePass = 5 * time.Millisecond
+	// idlePollInterval is how often an idle group checks for work.
+	idlePollInterval = 5 * time.Millisecond
 )
 
-// Span is a time between two moments of a trial.
+// Span is a half-open interval of trial time.
 type Span struct {
 	From time.Duration
 	To   time.Duration
 }
 
-func within(spans []Span, at time.Duration) bool {
+func inAnySpan(spans []Span, at time.Duration) bool {
 	for _, s := range spans {
 		if at >= s.From && at < s.To {
 			return true
@@ -46,125 +49,127 @@
 type stream struct {
 	prompt int
 	events int
-	// begun, event and over are told to the entry; gone is true once the caller has left.
-	begun func(full bool)
-	event func()
-	over  func(whole bool)
-	gone  bool
-	sent  int
+	// onStart, onEvent and onEnd notify the entry; closed is set once the request has ended or its
+	// caller has disconnected.
+	onStart func(full bool)
+	onEvent func()
+	onEnd   func(completed bool)
+	closed  bool
+	emitted int
 }
 
-// ranks is a group that makes every pass together.
-type ranks struct {
+// rankGroup is a group whose ranks execute every pass in lockstep.
+type rankGroup struct {
 	*clock
-	dark    []Span
-	still   []Span
-	running [groupRanks][]*stream
-	waiting [groupRanks][]*stream
-	fresh   [groupRanks][]*stream
+	outages    []Span
+	stalls     []Span
+	running    [groupRanks][]*stream
+	waiting    [groupRanks][]*stream
+	prefilling [groupRanks][]*stream
 }
 
-// send gives a stream to a rank and returns false when it is refused.
-func (g *ranks) send(rank int, s *stream) bool {
-	if within(g.dark, g.now) || len(g.waiting[rank]) >= groupQueue {
+// send queues a stream at a rank and reports whether it was accepted.
+func (g *rankGroup) send(rank int, s *stream) bool {
+	if inAnySpan(g.outages, g.now) || len(g.waiting[rank]) >= groupQueue {
 		return false
 	}
 	g.waiting[rank] = append(g.waiting[rank], s)
 	return true
 }
 
-// load returns how many run and wait at a rank.
-func (g *ranks) load(rank int) (running, waiting int) {
-	return len(g.running[rank]) + len(g.fresh[rank]), len(g.waiting[rank])
+// load returns the number of running and waiting streams of a rank.
+func (g *rankGroup) load(rank int) (running, waiting int) {
+	return len(g.running[rank]) + len(g.prefilling[rank]), len(g.waiting[rank])
 }
 
-// pass begins a pass and comes back at its end.
-func (g *ranks) pass() {
-	if within(g.dark, g.now) {
-		g.cutAll()
+// beginPass starts a pass and schedules its end.
+func (g *rankGroup) beginPass() {
+	if inAnySpan(g.outages, g.now) {
+		g.abortAll()
 	}
-	if within(g.dark, g.now) || within(g.still, g.now) {
-		g.after(idlePass, g.pass)
+	if inAnySpan(g.outages, g.now) || inAnySpan(g.stalls, g.now) {
+		g.after(idlePollInterval, g.beginPass)
 		return
 	}
-	most, reading := 0, 0
+	maxRunning, maxPromptTokens := 0, 0
 	for r := range groupRanks {
-		g.fill(r)
+		g.fillSlots(r)
 		tokens := 0
-		for _, s := range g.fresh[r] {
+		for _, s := range g.prefilling[r] {
 			tokens += s.prompt
 		}
-		most = max(most, len(g.running[r])+len(g.fresh[r]))
-		reading = max(reading, tokens)
+		maxRunning = max(maxRunning, len(g.running[r])+len(g.prefilling[r]))
+		maxPromptTokens = max(maxPromptTokens, tokens)
 	}
-	if most == 0 {
-		g.after(idlePass, g.pass)
+	if maxRunning == 0 {
+		g.after(idlePollInterval, g.beginPass)
 		return
 	}
-	step := float64(stepTime) + float64(slotTime)*float64(most)*imbalance
-	took := time.Duration(eventTokens*step) + time.Duration(float64(reading)/tokensPerMS*float64(time.Millisecond))
-	g.after(took, g.end)
+	step := float64(baseStepTime) + float64(slotTime)*float64(maxRunning)*imbalance
+	passTime := time.Duration(eventTokens*step) + time.Duration(float64(maxPromptTokens)/tokensPerMS*float64(time.Millisecond))
+	g.after(passTime, g.endPass)
 }
 
-// fill takes waiting streams into free slots.
-func (g *ranks) fill(r int) {
-	for len(g.waiting[r]) > 0 && len(g.running[r])+len(g.fresh[r]) < groupSlots {
+// fillSlots moves waiting streams into free slots.
+func (g *rankGroup) fillSlots(r int) {
+	for len(g.waiting[r]) > 0 && len(g.running[r])+len(g.prefilling[r]) < groupSlots {
 		s := g.waiting[r][0]
 		g.waiting[r] = g.waiting[r][1:]
-		if !s.gone {
-			g.fresh[r] = append(g.fresh[r], s)
+		if !s.closed {
+			g.prefilling[r] = append(g.prefilling[r], s)
 		}
 	}
 }
 
-// end tells what a pass has made.
-func (g *ranks) end() {
+// endPass delivers the events of a pass and begins the next one.
+func (g *rankGroup) endPass() {
 	for r := range groupRanks {
-		for _, s := range g.fresh[r] {
-			if !s.gone {
+		for _, s := range g.prefilling[r] {
+			if !s.closed {
 				running, waiting := g.load(r)
-				s.begun(running >= groupSlots && waiting > 0)
+				s.onStart(running >= groupSlots && waiting > 0)
 			}
 		}
-		all := append(g.running[r], g.fresh[r]...)
-		g.running[r], g.fresh[r] = nil, nil
+		all := append(g.running[r], g.prefilling[r]...)
+		g.running[r], g.prefilling[r] = nil, nil
 		for _, s := range all {
-			if s.gone {
+			if s.closed {
 				continue
 			}
-			s.event()
-			if s.sent++; s.sent >= s.events {
-				s.over(true)
+			s.onEvent()
+			if s.emitted++; s.emitted >= s.events {
+				s.onEnd(true)
 				continue
 			}
 			g.running[r] = append(g.running[r], s)
 		}
 	}
-	g.pass()
+	g.beginPass()
 }
 
-// cutAll ends what a group had that broke.
-func (g *ranks) cutAll() {
+// abortAll ends all streams of a failed group.
+func (g *rankGroup) abortAll() {
 	for r := range groupRanks {
-		all := append(append(g.running[r], g.fresh[r]...), g.waiting[r]...)
-		g.running[r], g.fresh[r], g.waiting[r] = nil, nil, nil
+		all := append(append(g.running[r], g.prefilling[r]...), g.waiting[r]...)
+		g.running[r], g.prefilling[r], g.waiting[r] = nil, nil, nil
 		for _, s := range all {
-			if !s.gone {
-				s.over(false)
+			if !s.closed {
+				s.onEnd(false)
 			}
 		}
 	}
 }
 
-// drawn returns a stream whose sizes are spread as the users' are.
-func drawn(random *rand.Rand) *stream {
+// newStream returns a stream with random sizes, distributed as the users' requests are.
+func newStream(random *rand.Rand) *stream {
 	return &stream{
 		prompt: int(lognormal(random, meanPrompt, promptSpread)) + 1,
-		events: int(min(lognormal(random, meanEvents, eventsSpread), mostEvents)) + 1,
+		events: int(min(lognormal(random, meanEvents, eventsSpread), maxEvents)) + 1,
 	}
 }
 
-// lognormal draws a number with a mean and a spread of its logarithm.
+// lognormal returns a log-normal sample with the given mean and standard deviation of the
+// logarithm.
 func lognormal(random *rand.Rand, mean, spread float64) float64 {
 	return mean * math.Exp(spread*random.NormFloat64()-spread*spread/2)
 }
--- a/trial/result.go
+++ b/trial/result.go
@@ -5,17 +5,18 @@
 	"time"
 )
 
-// Result is what a trial has measured.
+// Result holds the measurements of a trial.
 type Result struct {
 	Scenario string
 	Policy   Policy
 	Lag      time.Duration
-	// Useful is the work of requests on target, in cost units for each second of each upstream.
+	// Useful is the work of the requests on target, in cost units per second and upstream.
 	Useful  float64
 	Classes []ClassResult
 }
 
-// ClassResult is one class's part of a result; a request that was refused and came back does not count as on time.
+// ClassResult holds the results of one class. A request that was refused and retried does not count
+// as on time.
 type ClassResult struct {
 	Class    string
 	Sent     int
@@ -23,13 +24,14 @@
 	P95      time.Duration
 	P99      time.Duration
 	Refusals int
-	// Unfairness is the largest part by which an account falls short of its even share of what the class got on time.
+	// Unfairness is the largest relative shortfall of an account from its fair share of the class's
+	// requests on time.
 	Unfairness float64
-	// Recovery is the time after the surge until the class stays on target.
+	// Recovery is the time from the end of the surge until the class stays on target.
 	Recovery time.Duration
 }
 
-const onTarget = 0.95
+const onTargetShare = 0.95
 
 func ratio(a, b int) float64 {
 	if b == 0 {
@@ -45,7 +47,8 @@
 	return sorted[int(q*float64(len(sorted)-1))]
 }
 
-// unfairness compares what each account got with an even split in which nobody gets more than it asked for.
+// unfairness compares what each account got with a max-min fair split, in which no account gets
+// more than it requested.
 func (t *tally) unfairness() float64 {
 	total := 0
 	demands := make([]int, 0, len(t.accounts))
@@ -54,33 +57,33 @@
 		demands = append(demands, s.sent)
 	}
 	sort.Ints(demands)
-	level, left := 0.0, float64(total)
+	evenShare, remaining := 0.0, float64(total)
 	for i, d := range demands {
-		level = left / float64(len(demands)-i)
-		if float64(d) >= level {
+		evenShare = remaining / float64(len(demands)-i)
+		if float64(d) >= evenShare {
 			break
 		}
-		left -= float64(d)
+		remaining -= float64(d)
 	}
 	worst := 0.0
 	for _, s := range t.accounts {
-		if fair := min(float64(s.sent), level); fair > 0 {
+		if fair := min(float64(s.sent), evenShare); fair > 0 {
 			worst = max(worst, 1-float64(s.onTime)/fair)
 		}
 	}
 	return worst
 }
 
-func (t *tally) recovery(ends, lasts time.Duration) time.Duration {
-	if ends == 0 {
+func (t *tally) recovery(end, duration time.Duration) time.Duration {
+	if end == 0 {
 		return 0
 	}
-	last := time.Duration(0)
+	recovery := time.Duration(0)
 	for k, s := range t.windows {
-		from := time.Duration(k) * window
-		if from >= ends && ratio(s.onTime, s.sent) < onTarget {
-			last = max(last, min(from+window, lasts)-ends)
+		from := time.Duration(k) * resultWindow
+		if from >= end && ratio(s.onTime, s.sent) < onTargetShare {
+			recovery = max(recovery, min(from+resultWindow, duration)-end)
 		}
 	}
-	return last
+	return recovery
 }
--- a/trial/upstream.go
+++ b/trial/upstream.go
@@ -9,37 +9,37 @@
 
 const (
 	tokenTime = 4 * time.Millisecond
-	// knee is the number of concurrent streams from which on a step takes longer with each.
+	// knee is the concurrency above which each further stream makes steps slower.
 	knee = 16
 )
 
-// discipline is how an upstream orders and admits what waits before it.
+// discipline is how an upstream orders and admits queued work.
 type discipline struct {
-	// byTarget uses the queue of the product; otherwise work waits in order of arrival.
+	// byTarget selects the product's queue instead of first in, first out.
 	byTarget bool
-	// shed refuses what can't be served in time.
+	// shed rejects work that can't be served in time.
 	shed bool
-	// fixedLimit runs that many at once instead of learning.
+	// fixedLimit is the concurrency limit; zero selects the learned limit.
 	fixedLimit int
 }
 
-// upstream is a fake model engine with its agent's queue.
+// upstream is a fake model engine with the queue of its agent.
 type upstream struct {
-	w       *world
-	id      int
-	domain  int
-	d       discipline
-	queue   *queue.Queue
-	fifo    []*job
-	limiter *queue.Limiter
-	jobs    map[uint64]*job
-	running int
-	cost    float64
-	busy    float64
-	reports []snapshot
-}
-
-// snapshot is a report as it was at a moment.
+	w          *world
+	id         int
+	domain     int
+	discipline discipline
+	queue      *queue.Queue
+	fifo       []*job
+	limiter    *queue.Limiter
+	jobs       map[uint64]*job
+	running    int
+	cost       float64
+	busy       float64
+	reports    []snapshot
+}
+
+// snapshot is a load report with its time.
 type snapshot struct {
 	at      time.Duration
 	queued  []queue.ClassLoad
@@ -47,18 +47,18 @@
 	inUse   int
 	limit   int
 	drain   float64
-	lost    bool
+	down    bool
 }
 
 func newUpstream(w *world, id, domain int, d discipline) *upstream {
 	return &upstream{
-		w:       w,
-		id:      id,
-		domain:  domain,
-		d:       d,
-		queue:   queue.New(),
-		limiter: queue.NewLimiter(),
-		jobs:    make(map[uint64]*job),
+		w:          w,
+		id:         id,
+		domain:     domain,
+		discipline: d,
+		queue:      queue.New(),
+		limiter:    queue.NewLimiter(),
+		jobs:       make(map[uint64]*job),
 	}
 }
 
@@ -72,7 +72,7 @@
 	return u.w.scenario.Speed(u.id, u.w.now)
 }
 
-// meanSpeed is the speed of the bound's one upstream, which stands for all.
+// meanSpeed returns the speed of Bound's single upstream, which represents all upstreams.
 func (u *upstream) meanSpeed() float64 {
 	sum := 0.0
 	for i := range upstreams {
@@ -82,47 +82,48 @@
 }
 
 func (u *upstream) limit() int {
-	if u.d.fixedLimit > 0 {
-		return u.d.fixedLimit
+	if u.discipline.fixedLimit > 0 {
+		return u.discipline.fixedLimit
 	}
 	return u.limiter.Limit()
 }
 
-func (u *upstream) offer(j *job) {
+func (u *upstream) enqueue(j *job) {
 	if u.speed() == 0 {
-		u.w.refused(j, u, 0)
+		u.w.onRefused(j, u, 0)
 		return
 	}
-	if !u.d.byTarget {
+	if !u.discipline.byTarget {
 		u.fifo = append(u.fifo, j)
-		u.start()
+		u.startWaiting()
 		return
 	}
 	c := u.w.scenario.Classes[j.class]
 	u.jobs[j.id] = j
 	capacity := u.capacity()
 	drain := capacity.DrainRate
-	if !u.d.shed {
+	if !u.discipline.shed {
 		capacity.DrainRate = 0
 	}
-	gone := u.queue.Push(u.w.time(), queue.Item{
+	rejected := u.queue.Push(u.w.time(), queue.Item{
 		ID:            j.id,
 		Class:         c.Name,
 		Account:       j.account,
-		LatencyTarget: c.Within,
-		Due:           epoch.Add(j.came + c.Within),
-		Expires:       epoch.Add(j.came + time.Hour),
+		LatencyTarget: c.LatencyTarget,
+		Due:           epoch.Add(j.arrived + c.LatencyTarget),
+		Expires:       epoch.Add(j.arrived + time.Hour),
 		Cost:          j.cost,
 	}, capacity)
-	for _, it := range gone {
+	for _, it := range rejected {
 		victim := u.jobs[it.ID]
 		delete(u.jobs, it.ID)
-		u.w.refused(victim, u, time.Duration(u.queue.Cost()/max(drain, 1)*float64(time.Second)))
+		u.w.onRefused(victim, u, time.Duration(u.queue.Cost()/max(drain, 1)*float64(time.Second)))
 	}
-	u.start()
+	u.startWaiting()
 }
 
-// knee is the number of streams that an upstream runs without slowing down; the bound's one upstream stands for all.
+// knee returns the concurrency of an upstream without slowdown. The single upstream of Bound
+// represents all upstreams.
 func (u *upstream) knee() int {
 	if u.w.policy == Bound {
 		return knee * upstreams
@@ -137,14 +138,14 @@
 		Cost:      u.cost,
 		DrainRate: u.limiter.DrainRate(),
 	}
-	if unit := u.limiter.UnitTime(); u.d.fixedLimit > 0 && unit > 0 {
+	if unit := u.limiter.UnitTime(); u.discipline.fixedLimit > 0 && unit > 0 {
 		c.DrainRate = float64(c.Limit) / unit
 	}
 	return c
 }
 
-func (u *upstream) next() *job {
-	if !u.d.byTarget {
+func (u *upstream) dequeue() *job {
+	if !u.discipline.byTarget {
 		if len(u.fifo) == 0 {
 			return nil
 		}
@@ -161,33 +162,33 @@
 	return j
 }
 
-func (u *upstream) start() {
+func (u *upstream) startWaiting() {
 	for u.running < u.limit() {
-		j := u.next()
+		j := u.dequeue()
 		if j == nil {
 			return
 		}
 		u.running++
 		u.cost += j.cost
-		slow := max(1, float64(u.running)/float64(u.knee())) / max(u.speed(), 0.01)
-		token := time.Duration(float64(tokenTime) * slow)
-		took := time.Duration(j.cost * float64(token))
-		u.w.started(j, token)
-		u.w.after(took, func() { u.finish(j, took) })
+		slowdown := max(1, float64(u.running)/float64(u.knee())) / max(u.speed(), 0.01)
+		perToken := time.Duration(float64(tokenTime) * slowdown)
+		duration := time.Duration(j.cost * float64(perToken))
+		u.w.onStart(j, perToken)
+		u.w.after(duration, func() { u.finish(j, duration) })
 	}
 }
 
-func (u *upstream) finish(j *job, took time.Duration) {
+func (u *upstream) finish(j *job, duration time.Duration) {
 	u.running--
 	u.cost -= j.cost
 	u.busy += j.cost
-	u.limiter.Observe(u.w.time(), j.cost, took, u.queue.Len() > 0 || len(u.fifo) > 0)
-	u.w.finished(j, u)
-	u.start()
+	u.limiter.Observe(u.w.time(), j.cost, duration, u.queue.Len() > 0 || len(u.fifo) > 0)
+	u.w.onFinish(j, u)
+	u.startWaiting()
 }
 
-// report notes the present state, to be seen later.
-func (u *upstream) report() {
+// recordReport stores a snapshot of the current state, which entries see after the lag.
+func (u *upstream) recordReport() {
 	s := snapshot{
 		at:      u.w.now,
 		queued:  u.queue.Load(),
@@ -195,9 +196,9 @@
 		inUse:   u.running,
 		limit:   u.limit(),
 		drain:   u.limiter.DrainRate(),
-		lost:    u.speed() == 0,
+		down:    u.speed() == 0,
 	}
-	if !u.d.byTarget {
+	if !u.discipline.byTarget {
 		sum := 0.0
 		for _, j := range u.fifo {
 			sum += j.cost
@@ -207,8 +208,9 @@
 	u.reports = append(u.reports, s)
 }
 
-// seen returns the newest report that is older than the lag.
-func (u *upstream) seen() (snapshot, bool) {
+// visibleReport returns the newest report that is at least as old as the lag, and discards older
+// ones.
+func (u *upstream) visibleReport() (snapshot, bool) {
 	for i := len(u.reports) - 1; i >= 0; i-- {
 		if u.reports[i].at <= u.w.now-u.w.lag {
 			u.reports = u.reports[i:]
@@ -219,8 +221,8 @@
 }
 
 func (u *upstream) candidate(e *entry) (route.Candidate, bool) {
-	s, ok := u.seen()
-	if s.lost {
+	s, ok := u.visibleReport()
+	if s.down {
 		return route.Candidate{}, false
 	}
 	c := route.Candidate{
@@ -231,14 +233,14 @@
 		Limit:      s.limit,
 		DrainRate:  s.drain,
 		Unreported: e.sentSince(u.id, s.at),
-		InFlight:   e.own[u.id],
+		InFlight:   e.inFlightCost[u.id],
 	}
 	if !ok {
 		return c, true
 	}
 	for _, q := range s.queued {
 		c.Queued = append(c.Queued, route.ClassCost{
-			LatencyTarget: u.w.within(q.Class),
+			LatencyTarget: u.w.latencyTarget(q.Class),
 			Cost:          q.Cost,
 		})
 	}
--- a/trial/work.go
+++ b/trial/work.go
@@ -5,12 +5,13 @@
 // Class is a class of work in a trial.
 type Class struct {
 	Name string
-	// Cost is the tokens of a request, and Within the time that the target allows until the first one.
-	Cost   float64
-	Within time.Duration
+	// Cost is the number of tokens of a request; LatencyTarget is the time allowed until the first
+	// one.
+	Cost          float64
+	LatencyTarget time.Duration
 }
 
-// Source is one account's work in one class; Rate gives its requests a second at a moment.
+// Source is the work of one account in one class; Rate returns its requests per second.
 type Source struct {
 	Account string
 	Class   int
@@ -19,24 +20,25 @@
 
 // job is one request of a trial.
 type job struct {
-	id      uint64
-	class   int
-	account string
-	cost    float64
-	came    time.Duration
-	tries   int
-	hops    int
-	entry   int
+	id       uint64
+	class    int
+	account  string
+	cost     float64
+	arrived  time.Duration
+	attempts int
+	hops     int
+	entry    int
 }
 
-// Scenario is the work and the faults of a trial.
+// Scenario is the workload and the faults of a trial.
 type Scenario struct {
-	Name    string
-	Classes []Class
-	Sources []Source
-	Lasts   time.Duration
-	// SurgeEnds is when the surge, or the fault, is over; zero when there is none.
-	SurgeEnds time.Duration
-	// Speed returns how fast an upstream is at a moment, 1 by default and 0 when it is lost.
+	Name     string
+	Classes  []Class
+	Sources  []Source
+	Duration time.Duration
+	// SurgeEnd is the end of the surge or the fault; zero if there is none.
+	SurgeEnd time.Duration
+	// Speed returns the relative speed of an upstream: 1 if normal, 0 if it is down. Nil means
+	// always 1.
 	Speed func(upstream int, at time.Duration) float64
 }
--- a/trial/world.go
+++ b/trial/world.go
@@ -9,17 +9,17 @@
 )
 
 const (
-	entries     = 9
-	upstreams   = 12
-	domains     = 3
-	reportEvery = 500 * time.Millisecond
-	maxHops     = 2
-	maxTries    = 4
-	hopTime     = time.Millisecond
-	window      = 5 * time.Second
+	entries        = 9
+	upstreams      = 12
+	domains        = 3
+	reportInterval = 500 * time.Millisecond
+	maxHops        = 2
+	maxTries       = 4
+	hopDelay       = time.Millisecond
+	resultWindow   = 5 * time.Second
 )
 
-// world is one trial under way.
+// world is the state of one trial.
 type world struct {
 	clock
 	policy    Policy
@@ -33,24 +33,24 @@
 	tally     []tally
 }
 
-// tally collects one class's results.
+// tally accumulates the results of one class.
 type tally struct {
 	sent     int
-	whole    int
+	started  int
 	onTime   int
 	refused  int
 	useful   float64
 	waits    []time.Duration
-	accounts map[string]*share
-	windows  map[int]*share
+	accounts map[string]*counts
+	windows  map[int]*counts
 }
 
-type share struct {
+type counts struct {
 	sent   int
 	onTime int
 }
 
-// Run plays a scenario under a policy with reports that are late by lag, from a seed.
+// Run simulates a scenario under a policy, with reports delayed by lag, from a seed.
 func Run(s *Scenario, p Policy, lag time.Duration, seed uint64) Result {
 	w := &world{
 		policy:   p,
@@ -71,41 +71,41 @@
 	}
 	for range s.Classes {
 		w.tally = append(w.tally, tally{
-			accounts: make(map[string]*share),
-			windows:  make(map[int]*share),
+			accounts: make(map[string]*counts),
+			windows:  make(map[int]*counts),
 		})
 	}
 	for i := range s.Sources {
 		w.arrive(&s.Sources[i])
 	}
-	w.tick()
-	w.run(s.Lasts + time.Minute)
+	w.reportAll()
+	w.run(s.Duration + time.Minute)
 	return w.result()
 }
 
-func (w *world) tick() {
+func (w *world) reportAll() {
 	for _, u := range w.upstreams {
-		u.report()
+		u.recordReport()
 	}
-	if w.now < w.scenario.Lasts+time.Minute {
-		w.after(reportEvery, w.tick)
+	if w.now < w.scenario.Duration+time.Minute {
+		w.after(reportInterval, w.reportAll)
 	}
 }
 
-// arrive draws a source's next request as a Poisson process whose rate may change.
+// arrive schedules a source's next request as a Poisson process with a varying rate.
 func (w *world) arrive(s *Source) {
-	const most = 50 * time.Millisecond
+	const maxGap = 50 * time.Millisecond
 	rate := s.Rate(w.now)
-	if w.now >= w.scenario.Lasts {
+	if w.now >= w.scenario.Duration {
 		return
 	}
-	gap := most
+	gap := maxGap
 	if rate > 0 {
 		gap = time.Duration(w.random.ExpFloat64() / rate * float64(time.Second))
 	}
-	if gap >= most {
-		// The process has no memory: drawing again after a short while follows a rate that changes.
-		w.after(most, func() { w.arrive(s) })
+	if gap >= maxGap {
+		// A Poisson process is memoryless, so drawing again after maxGap follows a changing rate.
+		w.after(maxGap, func() { w.arrive(s) })
 		return
 	}
 	w.after(gap, func() {
@@ -121,60 +121,62 @@
 		class:   s.Class,
 		account: s.Account,
 		cost:    w.scenario.Classes[s.Class].Cost,
-		came:    w.now,
+		arrived: w.now,
 		entry:   w.random.IntN(entries),
 	}
 	t := &w.tally[j.class]
 	t.sent++
-	t.share(t.accounts, j.account).sent++
-	t.window(j).sent++
+	t.countsOf(t.accounts, j.account).sent++
+	t.windowCounts(j).sent++
 	w.budget.Earn(w.scenario.Classes[j.class].Name)
 	w.route(j)
 }
 
 func (w *world) route(j *job) {
 	if !w.entries[j.entry].route(j) {
-		w.giveUp(j, 0)
+		w.reject(j, 0)
 	}
 }
 
-func (t *tally) share(m map[string]*share, k string) *share {
+func (t *tally) countsOf(m map[string]*counts, k string) *counts {
 	if m[k] == nil {
-		m[k] = &share{}
+		m[k] = &counts{}
 	}
 	return m[k]
 }
 
-func (t *tally) window(j *job) *share {
-	k := int(j.came / window)
+func (t *tally) windowCounts(j *job) *counts {
+	k := int(j.arrived / resultWindow)
 	if t.windows[k] == nil {
-		t.windows[k] = &share{}
+		t.windows[k] = &counts{}
 	}
 	return t.windows[k]
 }
 
-// refused hears that an upstream did not take a job: another is tried, then the caller is told when to come back.
-func (w *world) refused(j *job, u *upstream, drain time.Duration) {
-	w.entries[j.entry].own[u.id] -= j.cost
+// onRefused handles a job that an upstream rejected: it is routed again, or its caller is asked to
+// retry later once hops or retry budget are used up.
+func (w *world) onRefused(j *job, u *upstream, drain time.Duration) {
+	w.entries[j.entry].inFlightCost[u.id] -= j.cost
 	j.hops++
 	if j.hops > maxHops || w.policy == Bound || !w.budget.Spend(w.scenario.Classes[j.class].Name) {
-		w.giveUp(j, drain)
+		w.reject(j, drain)
 		return
 	}
-	w.after(hopTime, func() { w.route(j) })
+	w.after(hopDelay, func() { w.route(j) })
 }
 
-// giveUp answers the caller, who comes back after the stated time as a new request of the same operation.
-func (w *world) giveUp(j *job, drain time.Duration) {
+// reject refuses a request; its caller retries after the stated backoff as a new request of the
+// same operation.
+func (w *world) reject(j *job, drain time.Duration) {
 	t := &w.tally[j.class]
 	t.refused++
-	j.tries++
-	if j.tries >= maxTries {
+	j.attempts++
+	if j.attempts >= maxTries {
 		return
 	}
 	w.after(retry.After(drain, w.random), func() {
 		j.hops = 0
-		j.came = w.now
+		j.arrived = w.now
 		j.entry = w.random.IntN(entries)
 		w.nextID++
 		j.id = w.nextID
@@ -182,28 +184,29 @@
 	})
 }
 
-// started counts the first token, at which the target is judged; a caller who came back counts from the last time it came.
-func (w *world) started(j *job, token time.Duration) {
+// onStart records the first token, which decides whether the target is met. For a retried request,
+// the time counts from the latest attempt.
+func (w *world) onStart(j *job, firstToken time.Duration) {
 	t := &w.tally[j.class]
-	wait := w.now + token - j.came
-	t.whole++
+	wait := w.now + firstToken - j.arrived
+	t.started++
 	t.waits = append(t.waits, wait)
-	if wait <= w.scenario.Classes[j.class].Within && j.tries == 0 {
+	if wait <= w.scenario.Classes[j.class].LatencyTarget && j.attempts == 0 {
 		t.onTime++
 		t.useful += j.cost
-		t.share(t.accounts, j.account).onTime++
-		t.window(j).onTime++
+		t.countsOf(t.accounts, j.account).onTime++
+		t.windowCounts(j).onTime++
 	}
 }
 
-func (w *world) finished(j *job, u *upstream) {
-	w.entries[j.entry].own[u.id] -= j.cost
+func (w *world) onFinish(j *job, u *upstream) {
+	w.entries[j.entry].inFlightCost[u.id] -= j.cost
 }
 
-func (w *world) within(class string) time.Duration {
+func (w *world) latencyTarget(class string) time.Duration {
 	for _, c := range w.scenario.Classes {
 		if c.Name == class {
-			return c.Within
+			return c.LatencyTarget
 		}
 	}
 	return 0
@@ -218,7 +221,7 @@
 	for i := range w.tally {
 		t := &w.tally[i]
 		sort.Slice(t.waits, func(a, b int) bool { return t.waits[a] < t.waits[b] })
-		r.Useful += t.useful / (upstreams * w.scenario.Lasts.Seconds())
+		r.Useful += t.useful / (upstreams * w.scenario.Duration.Seconds())
 		r.Classes = append(r.Classes, ClassResult{
 			Class:      w.scenario.Classes[i].Name,
 			Sent:       t.sent,
@@ -227,7 +230,7 @@
 			P99:        quantile(t.waits, 0.99),
 			Refusals:   t.refused,
 			Unfairness: t.unfairness(),
-			Recovery:   t.recovery(w.scenario.SurgeEnds, w.scenario.Lasts),
+			Recovery:   t.recovery(w.scenario.SurgeEnd, w.scenario.Duration),
 		})
 	}
 	return r
