--- a/crash/clear.go
+++ b/crash/clear.go
@@ -6,8 +6,8 @@
 	"geraniumpass/core"
 )
 
-// observationSlack allows for a termination that happened earlier than it was observed here:
-// reports through the store take up to about 1 s.
+// observationSlack is by how much a termination may be older than its observation here, because
+// records take up to about 1 s through the store.
 const observationSlack = time.Second
 
 // RecordCompletion records that a request ran to completion without its instance terminating, and
@@ -22,11 +22,11 @@
 	}
 }
 
-// RecordResponse records that an instance start responded to a request sent at time sent over a
-// connection opened at time opened, and clears terminations of that start observed in between: they
-// were inferred from refused connections, which a partition can cause as well. A response alone
-// proves nothing, because it may have been buffered or come from a later start under the same ID.
-func (g *Registry) RecordResponse(start core.Start, opened, sent time.Time) {
+// RecordAnswer records that an incarnation answered a request sent at time sent over a connection
+// opened at time opened, and clears terminations of that incarnation observed in between: they were
+// inferred from refused connections, which a partition can cause as well. An answer alone proves
+// nothing, because it may have been buffered or come from a later incarnation under the same ID.
+func (g *Registry) RecordAnswer(start core.Start, opened, sent time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if g.uncleared[start] == 0 {
--- a/crash/digest.go
+++ b/crash/digest.go
@@ -15,7 +15,7 @@
 // and doesn't reveal the content.
 type Digest [digestSize]byte
 
-// Request holds the parts of a request that determine its digest.
+// Request holds the parts of a request that determine its Digest.
 type Request struct {
 	Method string
 	Host   string
--- a/crash/end.go
+++ b/crash/end.go
@@ -11,13 +11,13 @@
 	Digest Digest `json:"digest" cbor:"1,keyasint"`
 	// Account is the name of the request's client account, empty if it has none.
 	Account string `json:"account,omitempty" cbor:"2,keyasint,omitempty"`
-	// Instance and StartedAt identify the start that terminated. Recurrence counts earlier
+	// Instance and StartedAt identify the incarnation that terminated. Recurrence counts earlier
 	// terminations of an instance that doesn't report start times.
 	Instance   string `json:"instance" cbor:"3,keyasint"`
 	StartedAt  int64  `json:"born,omitempty" cbor:"4,keyasint,omitempty"`
 	Recurrence int    `json:"again,omitempty" cbor:"5,keyasint,omitempty"`
-	// Time is when the termination was observed, in Unix milliseconds by the observer's clock. It
-	// lets later readers see which terminations coincided.
+	// Time is when the termination was observed, in Unix milliseconds by the observer's clock.
+	// Processes that receive the record later use it to detect simultaneous terminations.
 	Time int64 `json:"time" cbor:"8,keyasint,omitempty"`
 	// Uncertain is true if no other instance in the same failure domain was reachable either, as in a
 	// partition.
@@ -29,7 +29,7 @@
 	Age time.Duration `json:"-" cbor:"7,keyasint,omitempty"`
 }
 
-// TerminationKey identifies a termination of an instance start.
+// TerminationKey identifies a termination of an incarnation.
 type TerminationKey struct {
 	Start      core.Start
 	Recurrence int
--- a/crash/keeper.go
+++ b/crash/keeper.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	// writeInterval is the minimum time between two writes; it batches the several requests that a
-	// terminating instance usually takes with it.
+	// writeInterval is the minimum time between two writes. It batches the records of the several
+	// requests that an instance is usually running when it terminates.
 	writeInterval = 500 * time.Millisecond
 	// initialBackoff and maxBackoff bound the backoff between calls to a failing store.
 	initialBackoff = 100 * time.Millisecond
@@ -29,8 +29,8 @@
 	Grant(ctx context.Context, ttl time.Duration) (store.Lease, error)
 }
 
-// Publisher writes the terminations observed by this process to the store, where entries read them
-// that have restarted or can't be reached from here.
+// Publisher writes the terminations recorded by this process to the store, from which entries that
+// have restarted or can't be reached from here read them.
 type Publisher struct {
 	Registry *Registry
 	Store    Writer
--- a/crash/registry.go
+++ b/crash/registry.go
@@ -24,15 +24,15 @@
 
 var counts = expvar.NewMap("requests_that_end_instances")
 
-// Registry holds the requests that coincided with instance terminations, as known to this process;
-// it is safe for concurrent use.
+// Registry holds the requests that coincided with instance terminations, as recorded here or received
+// from other processes; it is safe for concurrent use.
 type Registry struct {
 	clock clockwork.Clock
 	log   hclog.Logger
 
 	mu       sync.Mutex
 	suspects map[Digest]*suspect
-	// uncleared is the number of uncleared terminations per instance start.
+	// uncleared is the number of uncleared terminations per incarnation.
 	uncleared map[core.Start]int
 	completed *completions
 	seq       int64
@@ -54,8 +54,8 @@
 	}
 }
 
-// RecordTermination records that an instance start terminated while it was running a request of an
-// account; sure is false if the instance may only have been unreachable.
+// RecordTermination records that an incarnation terminated while it was running a request of an
+// account; certain is false if the instance may only have been unreachable.
 func (g *Registry) RecordTermination(d Digest, account string, start core.Start, certain bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/crash/registry_test.go
+++ b/crash/registry_test.go
@@ -147,27 +147,27 @@
 			e.terminate("x", "i-1")
 			e.terminate("x", "i-2")
 			e.clock.Advance(time.Millisecond)
-			e.RecordResponse(core.Start{ID: "i-1"}, opened, e.clock.Now())
+			e.RecordAnswer(core.Start{ID: "i-1"}, opened, e.clock.Now())
 		}, false},
 		{"an instance answered what was sent before its end", func(e entry) {
 			opened := e.clock.Now()
 			e.terminate("x", "i-1")
 			e.terminate("x", "i-2")
-			e.RecordResponse(core.Start{ID: "i-2"}, opened, opened)
+			e.RecordAnswer(core.Start{ID: "i-2"}, opened, opened)
 		}, true},
 		{"an answer over a connection that was opened after the end", func(e entry) {
 			e.terminate("x", "i-1")
 			opened := e.clock.Now()
 			e.terminate("x", "i-2")
 			e.clock.Advance(time.Millisecond)
-			e.RecordResponse(core.Start{ID: "i-1"}, opened, e.clock.Now())
+			e.RecordAnswer(core.Start{ID: "i-1"}, opened, e.clock.Now())
 		}, true},
 		{"another instance answers", func(e entry) {
 			opened := e.clock.Now()
 			e.terminate("x", "i-1")
 			e.terminate("x", "i-2")
 			e.clock.Advance(time.Millisecond)
-			e.RecordResponse(core.Start{ID: "i-3"}, opened, e.clock.Now())
+			e.RecordAnswer(core.Start{ID: "i-3"}, opened, e.clock.Now())
 		}, true},
 		{"not confirmed for long", func(e entry) {
 			e.terminate("x", "i-1")
--- a/crash/room.go
+++ b/crash/room.go
@@ -30,36 +30,36 @@
 	return s
 }
 
-// evictSuspect drops the least recently confirmed request of an account, preferring requests that
-// aren't refused.
+// evictSuspect drops the least recently confirmed request of an account, preferring requests with too
+// few uncleared terminations to be refused.
 func (g *Registry) evictSuspect(account string) {
-	var worst *suspect
-	worstRefused := false
+	var victim *suspect
+	victimRefused := false
 	for _, s := range g.suspects {
 		if s.account != account {
 			continue
 		}
 		refused := len(s.uncleared()) >= int(refusalThreshold)
-		if worst == nil || worstRefused && !refused || worstRefused == refused && s.lastConfirmed().Before(worst.lastConfirmed()) {
-			worst, worstRefused = s, refused
+		if victim == nil || victimRefused && !refused || victimRefused == refused && s.lastConfirmed().Before(victim.lastConfirmed()) {
+			victim, victimRefused = s, refused
 		}
 	}
-	if worst != nil {
+	if victim != nil {
 		counts.Add("forgotten", 1)
-		for _, r := range worst.terminations {
+		for _, r := range victim.terminations {
 			g.uncountTermination(r)
 		}
-		delete(g.suspects, worst.digest)
+		delete(g.suspects, victim.digest)
 	}
 }
 
 // largestAccount returns the account with the most tracked requests.
 func (g *Registry) largestAccount() string {
-	by := make(map[string]int)
+	tracked := make(map[string]int)
 	best := ""
 	for _, s := range g.suspects {
-		by[s.account]++
-		if by[s.account] > by[best] {
+		tracked[s.account]++
+		if tracked[s.account] > tracked[best] {
 			best = s.account
 		}
 	}
--- a/crash/suspect.go
+++ b/crash/suspect.go
@@ -11,7 +11,7 @@
 	// observed is when the termination was learned of, confirmed when it was last confirmed.
 	observed  time.Time
 	confirmed time.Time
-	// seq orders changes, so that readers can ask for those after a given one.
+	// seq is the record's position in the sequence of changes returned by Since.
 	seq int64
 	// local is true for records that this process publishes.
 	local bool
@@ -62,8 +62,9 @@
 	return true
 }
 
-// recurrence returns the Recurrence of a new termination. It is that of the latest known one if
-// that was observed within correlationWindow, because several entries observe the same termination.
+// recurrence returns the Recurrence of a new termination. If a termination of the same incarnation
+// was observed within correlationWindow, it returns that one's, because several entries observe the
+// same termination.
 func (s *suspect) recurrence(e Termination, now time.Time) int {
 	next := 0
 	for key, r := range s.terminations {
--- a/crash/weigh.go
+++ b/crash/weigh.go
@@ -3,19 +3,18 @@
 import "time"
 
 const (
-	// refusalThreshold is the total weight of terminations at which a request is refused. Of the
-	// requests running on two instances when they terminated, usually only the one that caused it
-	// was running on both.
+	// refusalThreshold is the total weight of terminations at which a request is refused. If two
+	// instances terminate, usually only the request that caused it was running on both.
 	refusalThreshold = 2.0
 	// correlationWindow is the time within which terminations count as simultaneous. Simultaneous
-	// terminations are rarely caused by a request, and an innocent request that is retried from one
-	// of the instances on the next is running on both.
+	// terminations are rarely caused by a request, and a harmless request that fails over from one
+	// of the instances to the next was running on both.
 	correlationWindow = time.Second
 	// reducedWeight is the weight of a termination that coincided with others or may have been a
 	// partition. It isn't zero because several fatal requests may arrive together, be retried at
 	// once and take down a whole failure domain.
 	reducedWeight = 0.5
-	// minCorrelated is the number of simultaneous terminations from which a request that was
+	// minCorrelated is the least number of simultaneous terminations for which a request that was
 	// running on all of the instances is presumed to be the cause.
 	minCorrelated = 3
 )
@@ -41,8 +40,8 @@
 	}
 	all := make(map[TerminationKey]bool)
 	for _, other := range g.suspects {
-		for key, near := range other.terminations {
-			if correlated(near, r) {
+		for key, t := range other.terminations {
+			if correlated(t, r) {
 				all[key] = true
 			}
 		}
@@ -50,13 +49,13 @@
 	if len(all) == 1 {
 		return 1
 	}
-	mine := 0
-	for _, near := range s.uncleared() {
-		if correlated(near, r) {
-			mine++
+	own := 0
+	for _, t := range s.uncleared() {
+		if correlated(t, r) {
+			own++
 		}
 	}
-	if len(all) >= minCorrelated && mine == len(all) {
+	if len(all) >= minCorrelated && own == len(all) {
 		return 1
 	}
 	return reducedWeight
--- a/gate/answering.go
+++ b/gate/answering.go
@@ -24,15 +24,15 @@
 		resp.Header.Get("Content-Encoding") == ""
 }
 
-// recordVerified records that the instance, and with it its service, is answering.
+// recordVerified records that the instance began a verified answer, and thereby that its service is
+// answering.
 func (a *attempt) recordVerified() {
 	a.verified = true
 	a.r.g.health.recordAnswer(a.r.service.Name, a.r.g.clock.Now())
 	a.r.g.recordAnswer(a.instance)
 }
 
-// recordReply applies the statements of the instance in its answer to a request sent at the given
-// time.
+// recordReply applies the metadata in the instance's answer to a request sent at the given time.
 func (a *attempt) recordReply(sent time.Time) {
 	g := a.r.g
 	if a.reply.Invalid != nil && g.loads.recordInvalid(a.instance.Start(), a.reply.Invalid) {
--- a/gate/attempt.go
+++ b/gate/attempt.go
@@ -87,7 +87,7 @@
 		return a.recordNoAnswer(err), 0
 	}
 	if resp.StatusCode != http.StatusMisdirectedRequest {
-		r.g.crashes.RecordResponse(a.instance.Start(), a.conn.Opened, sent)
+		r.g.crashes.RecordAnswer(a.instance.Start(), a.conn.Opened, sent)
 		a.recordReply(sent)
 	}
 	if a.reply.Slots > 0 {
@@ -140,8 +140,9 @@
 	return false
 }
 
-// silenceTimeout returns how long an instance may stay silent before the request fails over. Zero
-// means no timeout.
+// silenceTimeout returns how long an instance may stay silent before the request fails over. It
+// returns zero, which means no timeout, if the request must not be sent again or if less than two
+// such timeouts are left.
 func (a *attempt) silenceTimeout() time.Duration {
 	r := a.r
 	if !r.route.Repeatable() || r.sends >= r.route.Attempts {
@@ -178,8 +179,8 @@
 	return a.orCallerGone(verdictLost)
 }
 
-// recordLoss records that the attempt was lost. A verified answer that breaks off counts as a
-// failure only, not as an instance that answers nothing: all answers of a group break off when it
+// recordLoss records that the attempt was lost. A verified answer that breaks off adds to the failure
+// score but doesn't count towards failingThreshold, because all answers of a group break off when it
 // loses a rank.
 func (a *attempt) recordLoss(now time.Time) {
 	if a.verified {
--- a/gate/dialect.go
+++ b/gate/dialect.go
@@ -9,7 +9,7 @@
 	Read(h http.Header) (Call, error)
 	// Write sets the headers for the upstream in h, a copy of the caller's headers, and removes
 	// those that the upstream must not see.
-	Write(h http.Header, s AttemptInfo)
+	Write(h http.Header, info AttemptInfo)
 	// Reply parses the headers of an upstream's answer.
 	Reply(status int, h http.Header) Reply
 }
--- a/gate/ends.go
+++ b/gate/ends.go
@@ -20,39 +20,39 @@
 	case errors.As(err, &timeout) && timeout.Timeout():
 		return false
 	}
-	var stray *MismatchedAnswerError
-	var long *AnswerTooLargeError
-	return !errors.As(err, &stray) && !errors.As(err, &long)
+	var mismatched *MismatchedAnswerError
+	var tooLarge *AnswerTooLargeError
+	return !errors.As(err, &mismatched) && !errors.As(err, &tooLarge)
 }
 
-// recordDisconnect checks whether an instance that closed its connection has ended, and if so
-// counts that against the request. Instances that were leaving end as planned. When a group breaks,
-// its other ranks close their connections although their instances are alive.
+// recordDisconnect checks whether an instance that closed its connection has terminated, and if so
+// counts that against the request. Instances that were leaving terminate as planned. When a group
+// breaks, its other ranks close their connections although their instances are alive.
 func (r *request) recordDisconnect(in core.Instance) {
 	row, listed := r.g.view.Now().Instance(in.ID)
 	if !listed || row.Leaving {
 		return
 	}
-	ended, confirmed := true, true
+	terminated, certain := true, true
 	if row.Start() == in.Start() {
-		ended, confirmed = r.g.hasEnded(in)
+		terminated, certain = r.g.hasTerminated(in)
 	}
-	if ended {
-		r.g.crashes.RecordTermination(r.fingerprint(), r.account, in.Start(), confirmed)
+	if terminated {
+		r.g.crashes.RecordTermination(r.contentDigest(), r.account, in.Start(), certain)
 	}
-	r.g.log.Info("instance closed the connection before the end of its answer", "id", r.call.ID, "digest", r.fingerprint().String(), "account", r.account,
-		"instance", in.ID, "born", in.StartedAt, "ended", ended)
+	r.g.log.Info("instance closed the connection before the end of its answer", "id", r.call.ID, "digest", r.contentDigest().String(), "account", r.account,
+		"instance", in.ID, "born", in.StartedAt, "ended", terminated)
 }
 
-// isCrashing reports whether the request must not be sent any more because instances end when they
-// run it. Its callers retry it at any entry, and every instance that begins it ends and breaks its
-// group, so that nobody else is served meanwhile.
+// isCrashing reports whether the request must not be sent any more because instances terminate when
+// they run it. Its callers retry it at any entry, and every instance that begins it terminates and
+// breaks its group, so that the group serves nobody else for as long as the retries continue.
 func (r *request) isCrashing() bool {
-	return r.g.crashes.Refuses(r.fingerprint())
+	return r.g.crashes.Refuses(r.contentDigest())
 }
 
-// fingerprint returns the digest that identifies repetitions of the request.
-func (r *request) fingerprint() crash.Digest {
+// contentDigest returns the digest that identifies repetitions of the request.
+func (r *request) contentDigest() crash.Digest {
 	if !r.hashed {
 		caller := r.account
 		if caller == "" {
--- a/gate/exchange.go
+++ b/gate/exchange.go
@@ -22,8 +22,8 @@
 	minConnections = 3
 	// defaultConnections limits the connections to an instance whose service sets no limit.
 	defaultConnections = 64
-	// failureWeight, lostWeight and refusedWeight are the weights of a failed answer, a lost
-	// request and a refusal in an instance's failure score.
+	// failureWeight, lostWeight and refusedWeight are added to an instance's failure score for a
+	// failed answer, a lost request and a refusal.
 	failureWeight = 0.3
 	lostWeight    = 1.0
 	refusedWeight = 0.7
@@ -122,11 +122,11 @@
 	return r.reject(r.reason, r.retryAfter(wait))
 }
 
-// failCrashing rejects a request that ends the instances that run it. The request has run, if not
-// now then earlier, so the answer must not say that it was not executed, and it carries no
-// Retry-After.
+// failCrashing rejects a request that crashes the instances that run it. An earlier send of it has
+// run, if not one of this attempt, so the answer must not say that it was not executed, and it
+// carries no Retry-After.
 func (r *request) failCrashing() int {
-	r.g.log.Info("request not sent because instances end when they run it", "id", r.call.ID, "digest", r.fingerprint().String(), "account", r.account)
+	r.g.log.Info("request not sent because instances terminate when they run it", "id", r.call.ID, "digest", r.contentDigest().String(), "account", r.account)
 	if r.stream.started {
 		return statusAborted
 	}
@@ -184,7 +184,7 @@
 	case verdictDone:
 		r.recordAnswer(in, status, now)
 		if status >= 200 && status < 300 {
-			r.g.crashes.RecordCompletion(r.fingerprint())
+			r.g.crashes.RecordCompletion(r.contentDigest())
 		}
 	case verdictLost:
 		if !r.isServiceStalled(now) {
@@ -221,8 +221,8 @@
 // targetOf returns the connection target of an instance's current incarnation.
 func targetOf(in core.Instance) pool.Target {
 	return pool.Target{
-		Address: in.Address,
-		Born:    in.StartedAt,
+		Address:   in.Address,
+		StartedAt: in.StartedAt,
 	}
 }
 
--- a/gate/gate.go
+++ b/gate/gate.go
@@ -33,9 +33,10 @@
 	// Key is the hash key for request digests. All entries use the same key, so that each of them
 	// recognizes a repeated request.
 	Key []byte
-	// Crashes records the requests under which instances ended; if nil, the gate creates its own.
+	// Crashes records the requests that instances were running when they terminated; if nil, the gate
+	// creates its own.
 	Crashes *crash.Registry
-	// Quotas holds the limits stated by instances and this entry's shares of them; if nil, the gate
+	// Quotas holds the limits advertised by instances and this entry's shares of them; if nil, the gate
 	// creates its own.
 	Quotas *quota.Registry
 	// Leaving holds the instances that announced that they leave; if nil, the gate creates its own.
@@ -152,7 +153,7 @@
 	return g.random.IntN(n)
 }
 
-// entryCount returns the number of entries that share the retry budget, at least one.
+// entryCount returns the number of known entries, at least one.
 func entryCount(s *view.Snapshot) int {
 	return max(1, len(s.Members))
 }
--- a/gate/held.go
+++ b/gate/held.go
@@ -14,8 +14,8 @@
 	reasonCooldown = "resting"
 )
 
-// isBlocked reports whether an instance must get no request from this entry now, even if it is the
-// only one, because it is leaving, in a cooldown, or at its limit.
+// isBlocked reports whether an instance must get no request from this entry now because it is
+// leaving, in a cooldown, or at its limit. That holds even if it is the only instance.
 func (g *Gate) isBlocked(start core.Start, fleet quota.Fleet, now time.Time) bool {
 	return g.leavingInstances.IsLeaving(start) || g.cooldowns.remaining(start, now) > 0 || g.quotas.Wait(start, fleet) > 0
 }
--- a/gate/lateness.go
+++ b/gate/lateness.go
@@ -10,9 +10,9 @@
 // budgetRetention is how long the largest budget seen on a route is kept.
 const budgetRetention = 30 * time.Second
 
-// callerBudgets tracks the largest time budget seen recently on each route, which is taken as the
-// budget of a first try. A caller with a smaller budget has spent the difference on earlier tries,
-// because callers keep their deadline when they retry.
+// callerBudgets tracks the largest time budget seen recently on each route, which is assumed to be
+// the budget of a first try. A caller with a smaller budget has spent the difference on earlier
+// tries, because callers keep their deadline when they retry.
 type callerBudgets struct {
 	mu      sync.Mutex
 	byRoute map[string]*maxBudget
@@ -39,15 +39,15 @@
 	}
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	longest := b.byRoute[route.Name]
-	if longest == nil {
-		longest = &maxBudget{}
-		b.byRoute[route.Name] = longest
+	largest := b.byRoute[route.Name]
+	if largest == nil {
+		largest = &maxBudget{}
+		b.byRoute[route.Name] = largest
 	}
-	if budget >= longest.budget || now.Sub(longest.at) > budgetRetention {
-		longest.budget, longest.at = budget, now
+	if budget >= largest.budget || now.Sub(largest.at) > budgetRetention {
+		largest.budget, largest.at = budget, now
 	}
-	return longest.budget - budget
+	return largest.budget - budget
 }
 
 // isLate reports whether the answer can't begin within the target latency any more, because the
--- a/gate/lateness_test.go
+++ b/gate/lateness_test.go
@@ -9,8 +9,8 @@
 	"geraniumpass/plan"
 )
 
-// TestIsLate guards against taking first tries for retries and vice versa, which are told apart by
-// the time budget of the caller.
+// TestIsLate guards against mistaking first tries for retries and vice versa. The caller's time
+// budget distinguishes them.
 func TestIsLate(t *testing.T) {
 	clock := clockwork.NewFakeClockAt(time.Unix(1_000, 0))
 	g := &Gate{
--- a/gate/loads.go
+++ b/gate/loads.go
@@ -30,24 +30,25 @@
 	failingCooldown = 3 * time.Second
 )
 
-// loadTracker holds what this entry has observed of each incarnation of an instance. Observations
-// of an earlier incarnation don't apply to a later one.
+// loadTracker holds this entry's observations of the load and the failures of each incarnation of an
+// instance. Observations of an earlier incarnation don't apply to a later one.
 type loadTracker struct {
 	mu      sync.Mutex
 	byStart map[core.Start]*instanceLoad
 }
 
 type instanceLoad struct {
-	own int
-	// reported is the last load stated by the instance, including ownAtReport requests of this
+	inFlight int
+	// reported is the last load stated by the instance, including inFlightAtReport requests of this
 	// entry.
-	reported    float64
-	ownAtReport int
-	reportedAt  time.Time
+	reported         float64
+	inFlightAtReport int
+	reportedAt       time.Time
 	// failures is the failure score at failedAt. It decays with failureHalfLife.
 	failures float64
 	failedAt time.Time
-	// consecutiveLosses counts the requests lost since the instance last began an answer.
+	// consecutiveLosses counts the requests lost since the instance last began an answer;
+	// lastLossAt is when the last of them was lost.
 	consecutiveLosses int
 	lastLossAt        time.Time
 	// addressReused is set once another instance has answered at this address.
@@ -75,13 +76,13 @@
 func (t *loadTracker) begin(start core.Start) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.get(start).own++
+	t.get(start).inFlight++
 }
 
 func (t *loadTracker) end(start core.Start) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.get(start).own--
+	t.get(start).inFlight--
 }
 
 // addWaiting records the send time of a request that waits for its first byte; removeWaiting
@@ -119,7 +120,7 @@
 	defer t.mu.Unlock()
 	ld := t.get(start)
 	ld.reported = float64(running + waiting)
-	ld.ownAtReport = ld.own
+	ld.inFlightAtReport = ld.inFlight
 	ld.reportedAt = now
 }
 
@@ -182,7 +183,7 @@
 
 // estimates returns the estimate of each instance. The load from other entries is interpolated
 // between the instance's last report and the mean over all instances, by the age of the report. An
-// instance without a recent report, for example one with a long queue, is thus not taken for less
+// instance without a recent report, for example one with a long queue, thus doesn't appear less
 // loaded than the others.
 func (t *loadTracker) estimates(starts []core.Start, now time.Time) []estimate {
 	t.mu.Lock()
@@ -207,7 +208,7 @@
 		}
 		w := ld.reportWeight(now)
 		out[i] = estimate{
-			load:     float64(ld.own) + w*ld.othersLoad() + (1-w)*mean,
+			load:     float64(ld.inFlight) + w*ld.othersLoad() + (1-w)*mean,
 			failures: ld.decayedFailures(now),
 			failing:  ld.isFailing(now),
 		}
@@ -230,14 +231,14 @@
 
 // othersLoad returns the load from other entries as of the last report.
 func (ld *instanceLoad) othersLoad() float64 {
-	return max(0, ld.reported-float64(ld.ownAtReport))
+	return max(0, ld.reported-float64(ld.inFlightAtReport))
 }
 
 // isFailing reports whether an instance should get no request: it lost all of its recent ones, and
 // either the last loss is within failingCooldown or a test request is in flight. The failure score
-// can't tell two losses of two requests from two of a hundred.
+// doesn't distinguish two losses of two requests from two of a hundred.
 func (ld *instanceLoad) isFailing(now time.Time) bool {
-	return ld.consecutiveLosses >= failingThreshold && (now.Sub(ld.lastLossAt) < failingCooldown || ld.own > 0)
+	return ld.consecutiveLosses >= failingThreshold && (now.Sub(ld.lastLossAt) < failingCooldown || ld.inFlight > 0)
 }
 
 func (ld *instanceLoad) decayedFailures(now time.Time) float64 {
@@ -274,7 +275,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for start, ld := range t.byStart {
-		if ld.own == 0 && !keep(start) {
+		if ld.inFlight == 0 && !keep(start) {
 			delete(t.byStart, start)
 		}
 	}
--- a/gate/loads_test.go
+++ b/gate/loads_test.go
@@ -81,9 +81,9 @@
 	return route.LeastLoaded(seen, "a", c.random)
 }
 
-// TestManyEntriesSpreadLoad guards against uneven load when each entry rarely hears from an
-// instance: 41 entries send about six requests a second each to 63 engines of ten slots at 70%
-// load, so that an entry hears from an engine once in ten seconds.
+// TestManyEntriesSpreadLoad guards against uneven load when each entry rarely gets a load report of
+// an instance: 41 entries send about six requests a second each to 63 engines of ten slots at 70%
+// load, so that an entry gets a report of an engine once in ten seconds.
 func TestManyEntriesSpreadLoad(t *testing.T) {
 	const (
 		entries     = 41
--- a/gate/pick.go
+++ b/gate/pick.go
@@ -15,28 +15,28 @@
 func (r *request) pick() (in core.Instance, ok bool) {
 	snap := r.g.view.Now()
 	now := r.g.clock.Now()
-	near := r.g.preferredInstances(snap, r.service.Name)
-	alive := r.g.health.isAnswering(r.service.Name, now)
+	preferred := r.g.preferredInstances(snap, r.service.Name)
+	answering := r.g.health.isAnswering(r.service.Name, now)
 	r.g.pickMu.Lock()
 	defer r.g.pickMu.Unlock()
 	list := r.candidates(snap, now)
-	seen := make([]route.InstanceView, len(list))
+	views := make([]route.InstanceView, len(list))
 	starts := lo.Map(list, func(in core.Instance, _ int) core.Start { return in.Start() })
 	for i, e := range r.g.loads.estimates(starts, now) {
 		in := list[i]
-		seen[i] = route.InstanceView{
+		views[i] = route.InstanceView{
 			Domain:      in.Domain,
 			Load:        e.load,
 			Slots:       in.Slots,
-			Preferred:   near[in.ID],
+			Preferred:   preferred[in.ID],
 			Pace:        snap.Pace(in),
 			Penalty:     e.failures * failurePenalty,
 			HasIdleConn: r.g.pool.IdleCount(targetOf(in)) > 0,
-			LastResort: e.isBarred() || alive && r.g.loads.silentFor(in.Start(), now) > maxSilence ||
+			LastResort: e.isBarred() || answering && r.g.loads.silentFor(in.Start(), now) > maxSilence ||
 				r.g.isReplaced(snap, in),
 		}
 	}
-	i := route.LeastLoaded(seen, r.g.opts.Domain, r.g.pickRandom)
+	i := route.LeastLoaded(views, r.g.opts.Domain, r.g.pickRandom)
 	if i < 0 {
 		return core.Instance{}, false
 	}
--- a/gate/probes.go
+++ b/gate/probes.go
@@ -15,16 +15,16 @@
 	// failure domains, and a caller whose request may fail over waits for the result.
 	probeTimeout = 100 * time.Millisecond
 	// probeTTL is how long a probe's result is shared with other requests, since the ranks of a
-	// group lose theirs at the same moment. An instance that ends within this time after it was
-	// found alive is missed.
+	// group lose theirs at the same moment. An instance that terminates within this time after it
+	// was found alive is missed.
 	probeTTL = 50 * time.Millisecond
 	// maxDomainProbes is how many other instances of a failure domain are probed to check whether
-	// the domain is reachable. Two of them may have ended as well.
+	// the domain is reachable. Two of them may have terminated as well.
 	maxDomainProbes = 3
 )
 
-// probes deduplicates the checks whether an incarnation has ended, so that concurrent disconnects
-// cause one check.
+// probes deduplicates the checks whether an incarnation has terminated, so that concurrent
+// disconnects cause one check.
 type probes struct {
 	mu      sync.Mutex
 	byStart map[core.Start]*probe
@@ -32,11 +32,12 @@
 
 type probe struct {
 	startedAt time.Time
-	// done is closed once ended and confirmed are set.
-	done  chan struct{}
-	ended bool
-	// confirmed is set if another instance of the failure domain was reachable.
-	confirmed bool
+	// done is closed once terminated and certain are set.
+	done       chan struct{}
+	terminated bool
+	// certain is set if another instance of the failure domain was reachable or there was none to
+	// probe.
+	certain bool
 }
 
 func newProbes() *probes {
@@ -69,21 +70,21 @@
 	}
 }
 
-// hasEnded reports whether connections to an instance are refused, which means that its process has
-// ended, and whether that is confirmed. A partition between failure domains may refuse connections
-// too, but then no other instance of the domain is reachable either.
-func (g *Gate) hasEnded(in core.Instance) (ended, confirmed bool) {
+// hasTerminated reports whether connections to an instance are refused, which means that its process
+// has terminated, and whether that is certain. A partition between failure domains may refuse
+// connections too, but then no other instance of the domain is reachable either.
+func (g *Gate) hasTerminated(in core.Instance) (terminated, certain bool) {
 	p, owner := g.probes.findOrStart(in.Start(), g.clock.Now())
 	if !owner {
 		<-p.done
-		return p.ended, p.confirmed
+		return p.terminated, p.certain
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
-	p.ended = g.pool.Refuses(ctx, targetOf(in))
-	p.confirmed = p.ended && g.isDomainReachable(ctx, in)
+	p.terminated = g.pool.Refuses(ctx, targetOf(in))
+	p.certain = p.terminated && g.isDomainReachable(ctx, in)
 	close(p.done)
-	return p.ended, p.confirmed
+	return p.terminated, p.certain
 }
 
 // isDomainReachable reports whether another instance in the failure domain of in accepts
--- a/gate/pulse.go
+++ b/gate/pulse.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// A service is unavailable if it began no answer for unavailableAfter, more than four steps of
-	// a group, and at least unavailableRefusals requests were refused or lost since.
+	// A service is unavailable if it began no answer for longer than unavailableAfter, more than four
+	// steps of a group, and at least unavailableRefusals requests were refused or lost since.
 	unavailableAfter    = 400 * time.Millisecond
 	unavailableRefusals = 3
 	// answeringWindow is how long a service counts as answering after it began an answer, about
--- a/gate/reply.go
+++ b/gate/reply.go
@@ -22,11 +22,11 @@
 	Idle time.Duration
 	// Leaving reports whether the upstream announces that it leaves.
 	Leaving bool
-	// Cooldown is how long an upstream that refused the request wants no requests from this entry,
+	// Cooldown is how long this entry must send no requests to an upstream that refused this one,
 	// zero if unstated.
 	Cooldown time.Duration
-	// Limit is what the upstream accepts from all entries together. LimitInvalid is set if the
-	// stated limit could not be parsed, which is not the same as no limit.
+	// Limit is the request rate that the upstream accepts from all entries together. LimitInvalid is
+	// set if the advertised limit could not be parsed, which is not the same as no limit.
 	Limit        quota.Limit
 	LimitInvalid bool
 	// Invalid is the error of the statements above that could not be parsed and were left out, nil
--- a/gate/request.go
+++ b/gate/request.go
@@ -37,16 +37,17 @@
 	// its own. The caller disconnects soon after.
 	firstEventDeadline time.Time
 
-	// sends counts the attempts of which at least a byte was sent; tried holds the instances.
+	// sends counts the attempts of which at least a byte was sent; tried holds the instances of all
+	// attempts, including failed dials.
 	sends int
 	tried map[core.Start]bool
 	// retryReserved is set while a retry was taken from the budget and not used yet.
 	retryReserved bool
-	// mayHaveRun is set once a request was sent whose answer was lost.
+	// mayHaveRun is set once the request may have run without an answer reaching this entry.
 	mayHaveRun bool
 	// failedAnswer is a complete answer with a failure, sent to the caller if no retry succeeds.
 	failedAnswer *answer
-	// permit is the share of an instance's limit held by the next attempt.
+	// permit is the token of the picked instance's limit that the next attempt uses.
 	permit quota.Permit
 	// stream is the progress of the event stream at the caller.
 	stream streamProgress
--- a/gate/rests_test.go
+++ b/gate/rests_test.go
@@ -10,7 +10,8 @@
 // TestCooldownFromSeveralAnswers guards against a cooldown that ends early because another answer
 // requested a shorter one, or that outlasts its incarnation or its time.
 func TestCooldownFromSeveralAnswers(t *testing.T) {
-	// The cooldown is requested 1,000 s after the Unix epoch; Born is in milliseconds.
+	// The cooldown is requested 1,000 s after the Unix epoch; StartedAt is in
+	// milliseconds.
 	start := core.Start{ID: "i-1", StartedAt: 900_000}
 	tests := []struct {
 		name  string
--- a/gate/serve.go
+++ b/gate/serve.go
@@ -18,9 +18,10 @@
 	// callerMargin is subtracted from a caller's budget so that the final answer still reaches the
 	// caller. It covers several network delays between caller and entry.
 	callerMargin = 20 * time.Millisecond
-	// firstEventMargin is how long before its caller would disconnect a stream without an event
-	// gets its final answer, several times the wake-up delay of a busy entry. A caller that
-	// disconnects first gets no answer, and a stalled server can't be told to stop.
+	// firstEventMargin is subtracted from the time a caller waits for the first event of a stream,
+	// so that the final answer is sent before the caller disconnects. It covers several times the
+	// wake-up delay of a busy entry. A caller that disconnects first gets no answer, and its request
+	// can't be cancelled on a stalled server.
 	firstEventMargin = 100 * time.Millisecond
 	// defaultBudget applies if neither the route nor the caller sets a time limit.
 	defaultBudget = 30 * time.Second
@@ -49,12 +50,12 @@
 	}
 }
 
-// abortConnection closes the caller's connection so that a partial answer isn't taken for a
-// complete one.
+// abortConnection closes the caller's connection so that the caller doesn't mistake a partial answer
+// for a complete one.
 func (r *request) abortConnection() {
 	if !r.req.ProtoAtLeast(1, 1) {
-		// HTTP/1.0 callers don't know chunked encoding and take an orderly close for the end of a
-		// complete answer, so the connection is reset.
+		// HTTP/1.0 callers don't support chunked encoding and interpret an orderly close as the end
+		// of a complete answer, so the connection is reset.
 		if c, _, err := http.NewResponseController(r.w).Hijack(); err == nil {
 			if t, ok := c.(*net.TCPConn); ok {
 				_ = t.SetLinger(0)
@@ -72,7 +73,7 @@
 	statusAborted    = -2
 )
 
-// noFirstByte is logged for a request that no upstream began to answer.
+// noFirstByte is logged as begun_ms for a request that no upstream began to answer.
 const noFirstByte = -1
 
 // serve handles the request and returns the status sent to the caller.
@@ -217,8 +218,8 @@
 }
 
 // firstByteMillis returns the time in milliseconds from the request to the first byte of an
-// upstream's answer, or noFirstByte. It tells requests that an upstream accepted but did not begin
-// from those it was working on.
+// upstream's answer, or noFirstByte. It distinguishes requests that an upstream accepted but did not
+// begin from those it was working on.
 func (r *request) firstByteMillis() int64 {
 	if r.firstByteAt.IsZero() {
 		return noFirstByte
--- a/gate/stream.go
+++ b/gate/stream.go
@@ -40,8 +40,8 @@
 			last, ok := lastEventInOrder(pending[:end], r.stream.lastEvent)
 			numbered := allNumbered(pending[:end])
 			if !ok || resumed && !numbered {
-				// Unnumbered events from another run can't be told from bytes that aren't part of
-				// the stream.
+				// Unnumbered events from another run can't be distinguished from bytes that aren't
+				// part of the stream.
 				r.reason = "event_order"
 				return a.orCallerGone(verdictLost), 0
 			}
@@ -75,7 +75,7 @@
 	p.lastAt = now
 }
 
-// disconnectReason tells a failover after silence from a stream that broke off.
+// disconnectReason returns the reason to log: a failover after silence or a stream that broke off.
 func disconnectReason(err error) string {
 	var silent *SilenceTimeoutError
 	if errors.As(err, &silent) {
@@ -85,9 +85,10 @@
 }
 
 // awaitMoreData waits for more data of a stream that has begun. The request fails over from a
-// silent instance if its service has begun answers since: a frozen machine doesn't even close its
-// connections, and the caller disconnects from a stream that pauses. The ranks of a group pause
-// together, so a slow or paused group causes no failover. A pause alone never ends a stream.
+// silent instance if its service has begun an answer more than answeringWindow after the wait began:
+// a frozen machine doesn't even close its connections, and the caller disconnects from a stream that
+// pauses. The ranks of a group pause together, so a slow or paused group causes no failover. A pause
+// alone never ends a stream.
 func (a *attempt) awaitMoreData(resp *http.Response) error {
 	r := a.r
 	if !r.stream.started || !r.route.Repeatable() || resp.ContentLength == 0 || a.conn.Reader.Buffered() > 0 {
@@ -155,7 +156,8 @@
 }
 
 // lastEventInOrder returns the number of the last event, and false if an event doesn't directly
-// follow the one before. last is the number before events, negative if there is none.
+// follow the one before. last is the number of the event that precedes events, negative if there is
+// none.
 func lastEventInOrder(events []byte, last int64) (int64, bool) {
 	for _, line := range bytes.Split(events, []byte("\n")) {
 		v, ok := bytes.CutPrefix(line, []byte("id:"))
@@ -175,12 +177,12 @@
 // connection open.
 func allNumbered(events []byte) bool {
 	for _, event := range bytes.Split(events, eventSeparator) {
-		carries, numbered := false, false
+		hasData, numbered := false, false
 		for _, line := range bytes.Split(event, []byte("\n")) {
 			numbered = numbered || bytes.HasPrefix(line, []byte("id:"))
-			carries = carries || len(line) > 0 && line[0] != ':' && !bytes.HasPrefix(line, []byte("retry:"))
+			hasData = hasData || len(line) > 0 && line[0] != ':' && !bytes.HasPrefix(line, []byte("retry:"))
 		}
-		if carries && !numbered {
+		if hasData && !numbered {
 			return false
 		}
 	}
--- a/leave/registry.go
+++ b/leave/registry.go
@@ -18,7 +18,7 @@
 	maxRecords = 4096
 )
 
-// Registry holds the incarnations known to be leaving. It is safe for concurrent use.
+// Registry holds the incarnations that announced that they leave. It is safe for concurrent use.
 type Registry struct {
 	clock clockwork.Clock
 	log   hclog.Logger
@@ -30,10 +30,10 @@
 	changed chan struct{}
 }
 
-// record holds when an incarnation became known as leaving, and its sequence number.
+// record holds when an incarnation was added, and its sequence number.
 type record struct {
-	at  time.Time
-	seq int64
+	addedAt time.Time
+	seq     int64
 }
 
 // New returns an empty registry.
@@ -56,13 +56,13 @@
 	}
 }
 
-// Merge adds the incarnations that another entry knows.
+// Merge adds the incarnations that another entry reported as leaving.
 func (r *Registry) Merge(starts []core.Start) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, start := range starts {
 		if r.add(start) {
-			r.log.Info("instance leaves, as reported by another entry", "instance", start.ID, "born", start.StartedAt)
+			r.log.Info("another entry reported that the instance is leaving", "instance", start.ID, "born", start.StartedAt)
 		}
 	}
 }
@@ -77,8 +77,8 @@
 	}
 	r.seq++
 	r.records[start] = record{
-		at:  r.clock.Now(),
-		seq: r.seq,
+		addedAt: r.clock.Now(),
+		seq:     r.seq,
 	}
 	close(r.changed)
 	r.changed = make(chan struct{})
@@ -99,8 +99,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var out []core.Start
-	for start, s := range r.records {
-		if s.seq > after {
+	for start, rec := range r.records {
+		if rec.seq > after {
 			out = append(out, start)
 		}
 	}
@@ -119,8 +119,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock.Now()
-	for start, s := range r.records {
-		if now.Sub(s.at) > retention {
+	for start, rec := range r.records {
+		if now.Sub(rec.addedAt) > retention {
 			delete(r.records, start)
 		}
 	}
@@ -129,9 +129,9 @@
 func (r *Registry) evictOldest() {
 	var oldest core.Start
 	lowest := r.seq + 1
-	for start, s := range r.records {
-		if s.seq < lowest {
-			oldest, lowest = start, s.seq
+	for start, rec := range r.records {
+		if rec.seq < lowest {
+			oldest, lowest = start, rec.seq
 		}
 	}
 	delete(r.records, oldest)
--- a/leave/registry_test.go
+++ b/leave/registry_test.go
@@ -10,9 +10,9 @@
 	"geraniumpass/core"
 )
 
-// TestLeavingIsPerStart guards against an instance that gets no requests because an earlier
+// TestLeavingIsPerIncarnation guards against an instance that gets no requests because an earlier
 // incarnation with its ID left, and against one that is evicted too early.
-func TestLeavingIsPerStart(t *testing.T) {
+func TestLeavingIsPerIncarnation(t *testing.T) {
 	clock := clockwork.NewFakeClock()
 	g := New(clock, hclog.NewNullLogger())
 	left, next := core.Start{ID: "i-1", StartedAt: 1}, core.Start{ID: "i-1", StartedAt: 2}
--- a/peer/limits_test.go
+++ b/peer/limits_test.go
@@ -25,7 +25,7 @@
 				n.quotas.Sweep(func(core.Start) bool { return true })
 			}
 			known, _ := c.quotas.Since(0)
-			return len(known) == 1 && known[0].Instance == start.ID && known[0].Born == start.StartedAt && known[0].Ended == ended
+			return len(known) == 1 && known[0].Instance == start.ID && known[0].StartedAt == start.StartedAt && known[0].Ended == ended
 		}
 	}
 	await(t, "the limit to reach c", heard(false))
--- a/pool/pool.go
+++ b/pool/pool.go
@@ -14,8 +14,8 @@
 )
 
 const (
-	// dialTimeout limits opening a connection. A running instance accepts within two delays between
-	// zones and a handshake of a few milliseconds.
+	// dialTimeout limits opening a connection. A running instance accepts within two network delays
+	// between failure domains plus a few milliseconds for the handshake.
 	dialTimeout = 300 * time.Millisecond
 	// keepAliveIdle, keepAliveInterval and keepAliveProbes detect a silent peer within three
 	// seconds.
--- a/pool/probe.go
+++ b/pool/probe.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// Refuses reports whether connections to a target are refused, because its process has ended or a
-// partition refuses them. A connection opened by the check is kept for reuse. A timeout is not a
+// Refuses reports whether connections to a target are refused, because its process has terminated or
+// a partition refuses them. A connection opened by the check is kept for reuse. A timeout is not a
 // refusal.
 func (p *Pool) Refuses(ctx context.Context, t Target) bool {
 	return errors.Is(p.probe(ctx, t), syscall.ECONNREFUSED)
--- a/quota/fleet_test.go
+++ b/quota/fleet_test.go
@@ -14,8 +14,8 @@
 
 const (
 	tick = 20 * time.Millisecond
-	// answerTime is the instance's response time, linkTime how often an entry receives notices, and
-	// linkPeers from how many entries.
+	// answerTime is how long the instance takes to answer, linkTime how often an entry receives
+	// notices, and linkPeers from how many entries.
 	answerTime = 150 * time.Millisecond
 	linkTime   = 200 * time.Millisecond
 	linkPeers  = 3
--- a/quota/permit.go
+++ b/quota/permit.go
@@ -12,7 +12,7 @@
 	reservation *rate.Reservation
 }
 
-// Cancel returns the token of a request that was not sent.
+// Cancel puts back the token of a request that was not sent.
 func (p Permit) Cancel(now time.Time) {
 	if p.reservation != nil {
 		p.reservation.CancelAt(now)
--- a/quota/record.go
+++ b/quota/record.go
@@ -9,20 +9,20 @@
 )
 
 const (
-	// unconfirmedAfter is the age at which a limit that no entry has refreshed is probed by entries
-	// without a share of it.
+	// unconfirmedAfter is how long a limit must not have been confirmed to any entry before entries
+	// without a share send probes. A probe is a request sent to learn the instance's present limit.
 	unconfirmedAfter = 10 * time.Second
 	// probeShare is the fraction of the limit that the probes of all entries together may use.
 	probeShare = 0.1
-	// probeWindow is how long an entry's probe slot lasts. Slots expire because unused ones would
+	// probeWindow is how long an entry's turn to probe lasts. Turns expire because unused ones would
 	// otherwise add up to a burst.
 	probeWindow = time.Second
 )
 
-// record is the latest limit of one start of an instance, and this entry's share of it.
+// record is the latest limit of one incarnation of an instance, and this entry's share of it.
 type record struct {
 	limit Limit
-	// sentAt is when the request was sent whose response carried the limit.
+	// sentAt is when the request was sent whose answer carried the limit.
 	sentAt time.Time
 	// pending is a higher limit reported by another entry that is not yet in effect, or nil.
 	pending *pendingRaise
@@ -33,7 +33,8 @@
 	current   bool
 	fleetRev  int64
 	fleetSize int
-	// probeAt is when this entry's probe slot begins if no entry has refreshed the limit by then.
+	// probeAt is when this entry's turn to probe begins if the limit has not been confirmed by then,
+	// zero if none is scheduled.
 	probeAt time.Time
 	// seq is the record's position in the sequence of changes, and publishedAt when it got that
 	// position.
@@ -61,7 +62,7 @@
 }
 
 // assignShare computes this entry's share of the limit for the present fleet.
-func (r *record) assignShare(self string, start core.Start, fleet Fleet, holders func(rate float64, entries int) int, draw func() float64, now time.Time) {
+func (r *record) assignShare(self string, start core.Start, fleet Fleet, holders func(rate float64, entries int) int, random func() float64, now time.Time) {
 	if r.current && r.fleetRev == fleet.Rev {
 		return
 	}
@@ -72,40 +73,40 @@
 		r.bucket = nil
 		return
 	}
-	p := shareOf(r.limit.Rate, n)
+	s := shareOf(r.limit.Rate, n)
 	if r.bucket != nil {
-		r.bucket.SetLimitAt(now, rate.Limit(p.rate))
-		r.bucket.SetBurstAt(now, p.burst)
+		r.bucket.SetLimitAt(now, rate.Limit(s.rate))
+		r.bucket.SetBurstAt(now, s.burst)
 		return
 	}
-	r.bucket = rate.NewLimiter(rate.Limit(p.rate), p.burst)
+	r.bucket = rate.NewLimiter(rate.Limit(s.rate), s.burst)
 	// Each bucket starts short of a random fraction of a token, so that the first requests of
 	// holders with a burst of one are spread out.
-	r.bucket.AllowN(now.Add(-seconds(draw()/p.rate)), 1)
+	r.bucket.AllowN(now.Add(-seconds(random()/s.rate)), 1)
 }
 
 // wait returns the time until this entry may send a request, or zero if it may send now.
-func (r *record) wait(draw func() float64, now time.Time) time.Duration {
+func (r *record) wait(random func() float64, now time.Time) time.Duration {
 	if r.bucket == nil {
-		return max(0, r.nextProbe(draw, now).Sub(now))
+		return max(0, r.nextProbe(random, now).Sub(now))
 	}
-	lacks := 1 - r.bucket.TokensAt(now)
-	if lacks <= 0 {
+	missing := 1 - r.bucket.TokensAt(now)
+	if missing <= 0 {
 		return 0
 	}
-	return seconds(lacks / float64(r.bucket.Limit()))
+	return seconds(missing / float64(r.bucket.Limit()))
 }
 
 // nextProbe returns when this entry may probe for the instance's present limit. The time is random,
-// so that all entries together probe at a fraction of its rate.
-func (r *record) nextProbe(draw func() float64, now time.Time) time.Time {
+// so that all entries together probe at probeShare of the limit.
+func (r *record) nextProbe(random func() float64, now time.Time) time.Time {
 	first := r.sentAt.Add(unconfirmedAfter)
 	if now.Before(first) {
 		r.probeAt = time.Time{}
 		return first
 	}
 	if r.probeAt.IsZero() || now.Sub(r.probeAt) > probeWindow {
-		r.probeAt = now.Add(seconds(draw() * float64(r.fleetSize) / (probeShare * effectiveRate(r.limit.Rate))))
+		r.probeAt = now.Add(seconds(random() * float64(r.fleetSize) / (probeShare * effectiveRate(r.limit.Rate))))
 	}
 	return r.probeAt
 }
--- a/quota/registry.go
+++ b/quota/registry.go
@@ -17,7 +17,7 @@
 	refreshInterval = 2 * time.Second
 	// raiseMargin is by how much a higher limit must be newer than a known lower one to replace it,
 	// and raiseDelay is how long the lower limit still applies. An entry that was paused reports
-	// old limits as new ones; entries with newer information are heard from within that delay.
+	// old limits as new ones; notices from entries with newer limits arrive within that delay.
 	raiseMargin = 500 * time.Millisecond
 	raiseDelay  = time.Second
 	// retention is how long the end of a limit is reported, and how long the limit of an unlisted
@@ -57,8 +57,8 @@
 	}
 }
 
-// Observe records the limit in the response to a request sent at the given time. Responses may
-// arrive out of order: the limit from the most recently sent request applies.
+// Observe records the limit in the answer to a request sent at the given time. Answers may arrive out
+// of order: the limit from the most recently sent request applies.
 func (g *Registry) Observe(start core.Start, limit Limit, sent time.Time) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -128,10 +128,10 @@
 	if r.pending == nil || now.Before(r.pending.effectiveAt) {
 		return
 	}
-	up := *r.pending
+	raise := *r.pending
 	r.pending = nil
-	if up.sentAt.After(r.sentAt) {
-		g.update(start, r, up.limit, up.sentAt, "entry")
+	if raise.sentAt.After(r.sentAt) {
+		g.update(start, r, raise.limit, raise.sentAt, "entry")
 	}
 }
 
@@ -149,7 +149,8 @@
 }
 
 // RetryAfter returns after how long a caller that the instance can't serve now may find capacity at
-// some entry. An entry without a share returns the time in which the instance accepts one request.
+// some entry. For an entry without a share, that is the time in which the instance accepts one
+// request.
 func (g *Registry) RetryAfter(start core.Start, fleet Fleet) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -211,11 +212,11 @@
 			continue
 		}
 		out = append(out, Notice{
-			Instance: start.ID,
-			Born:     start.StartedAt,
-			Rate:     r.limit.Rate,
-			Ended:    !r.limit.Advertised,
-			Age:      max(0, now.Sub(r.sentAt)),
+			Instance:  start.ID,
+			StartedAt: start.StartedAt,
+			Rate:      r.limit.Rate,
+			Ended:     !r.limit.Advertised,
+			Age:       max(0, now.Sub(r.sentAt)),
 		})
 	}
 	return out, g.seq
@@ -228,8 +229,8 @@
 	return g.changed
 }
 
-// Sweep evicts limits that ended, or whose starts are no longer listed, once they are older than
-// the retention period.
+// Sweep evicts limits that ended, or whose incarnations are no longer listed, once they are older
+// than the retention period.
 func (g *Registry) Sweep(isListed func(start core.Start) bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -248,8 +249,8 @@
 	return r
 }
 
-// update stores a limit and gives the record a new sequence number if other entries must hear of
-// it; from names the source for the log.
+// update stores a limit and gives the record a new sequence number if other entries must be notified;
+// from names the source for the log.
 func (g *Registry) update(start core.Start, r *record, limit Limit, at time.Time, from string) {
 	now := g.clock.Now()
 	before := r.limit
--- a/quota/registry_test.go
+++ b/quota/registry_test.go
@@ -33,7 +33,7 @@
 	return r.limit
 }
 
-// TestLatestRequestWins guards against a delayed response that overwrites a newer limit.
+// TestLatestRequestWins guards against a delayed answer that overwrites a newer limit.
 func TestLatestRequestWins(t *testing.T) {
 	type answer struct {
 		sent  time.Duration
@@ -64,9 +64,9 @@
 	}
 }
 
-// TestLimitAppliesToOneStart guards against a restarted instance that is throttled by the limit of
-// its previous start.
-func TestLimitAppliesToOneStart(t *testing.T) {
+// TestLimitAppliesToOneIncarnation guards against a restarted instance that is throttled by the limit
+// of its previous incarnation.
+func TestLimitAppliesToOneIncarnation(t *testing.T) {
 	g, clock := newRegistry("a")
 	g.Observe(inst, one, clock.Now())
 	for n := range 3 {
@@ -79,13 +79,13 @@
 // TestMergeNotices guards against an entry that was paused and reports old limits as new: a lower
 // limit applies at once, a higher one only if the lower one is not confirmed meanwhile.
 func TestMergeNotices(t *testing.T) {
-	heard := func(rate float64, ended bool, age time.Duration) Notice {
+	newNotice := func(rate float64, ended bool, age time.Duration) Notice {
 		return Notice{
-			Instance: inst.ID,
-			Born:     inst.StartedAt,
-			Rate:     rate,
-			Ended:    ended,
-			Age:      age,
+			Instance:  inst.ID,
+			StartedAt: inst.StartedAt,
+			Rate:      rate,
+			Ended:     ended,
+			Age:       age,
 		}
 	}
 	tests := []struct {
@@ -97,16 +97,16 @@
 		at        Limit
 		later     Limit
 	}{
-		{name: "first heard of", notice: heard(1, false, 0), at: one, later: one},
-		{name: "end of what is not known", notice: heard(0, true, 0)},
-		{name: "lower", own: four, notice: heard(1, false, 0), at: one, later: one},
-		{name: "lower, older", own: four, notice: heard(1, false, time.Minute), at: four, later: four},
-		{name: "higher", own: one, notice: heard(4, false, 0), at: one, later: four},
-		{name: "higher, older", own: one, notice: heard(4, false, time.Minute), at: one, later: one},
-		{name: "higher, and the lower one confirmed", own: one, notice: heard(4, false, 0), confirmed: true, at: one, later: one},
-		{name: "ended", own: one, notice: heard(0, true, 0), at: one},
-		{name: "ended, and the limit confirmed", own: one, notice: heard(0, true, 0), confirmed: true, at: one, later: one},
-		{name: "a negative rate", own: one, notice: heard(-1, false, 0), at: one, later: one},
+		{name: "first heard of", notice: newNotice(1, false, 0), at: one, later: one},
+		{name: "end of what is not known", notice: newNotice(0, true, 0)},
+		{name: "lower", own: four, notice: newNotice(1, false, 0), at: one, later: one},
+		{name: "lower, older", own: four, notice: newNotice(1, false, time.Minute), at: four, later: four},
+		{name: "higher", own: one, notice: newNotice(4, false, 0), at: one, later: four},
+		{name: "higher, older", own: one, notice: newNotice(4, false, time.Minute), at: one, later: one},
+		{name: "higher, and the lower one confirmed", own: one, notice: newNotice(4, false, 0), confirmed: true, at: one, later: one},
+		{name: "ended", own: one, notice: newNotice(0, true, 0), at: one},
+		{name: "ended, and the limit confirmed", own: one, notice: newNotice(0, true, 0), confirmed: true, at: one, later: one},
+		{name: "a negative rate", own: one, notice: newNotice(-1, false, 0), at: one, later: one},
 	}
 	for _, tt := range tests {
 		t.Run(tt.name, func(t *testing.T) {
@@ -165,15 +165,15 @@
 	if g.Wait(start, fleet) < unconfirmedAfter {
 		t.Error("probes at once")
 	}
-	asked := 0
+	probed := 0
 	for range 120 {
 		clock.Advance(500 * time.Millisecond)
 		if _, ok := g.Acquire(start, fleet); ok {
-			asked++
+			probed++
 		}
 	}
-	if asked == 0 || asked > 6 {
-		t.Errorf("probed %d times in a minute", asked)
+	if probed == 0 || probed > 6 {
+		t.Errorf("probed %d times in a minute", probed)
 	}
 }
 
--- a/quota/share.go
+++ b/quota/share.go
@@ -13,8 +13,8 @@
 	// rate in any time span: the instance's rate times burstTime, plus burstBase requests.
 	burstTime = 1500 * time.Millisecond
 	burstBase = 4.0
-	// minRate is the rate in requests per second at which instances with a smaller limit are probed
-	// for a raised one.
+	// minRate is the rate in requests per second that applies to instances with a smaller limit, so
+	// that a raised limit is noticed.
 	minRate = 0.25
 	// maxBurst bounds the requests that one entry may send at once.
 	maxBurst = 1 << 20
@@ -71,7 +71,8 @@
 	return len(f.Members) + 1
 }
 
-// isHolder reports whether the entry is among the first holders of a start by rendezvous hashing.
+// isHolder reports whether the entry is one of the given number of holders of an instance's limit by
+// rendezvous hashing.
 func (f Fleet) isHolder(self string, start core.Start, holders int) bool {
 	seed := route.Seed(start.ID)
 	own := route.RendezvousWeight(self, seed)
--- a/retry/back.go
+++ b/retry/back.go
@@ -6,7 +6,7 @@
 	// minBackoff is the shortest backoff of a rejected caller.
 	minBackoff = 50 * time.Millisecond
 	// outageBackoffFraction is the fraction of its remaining time that a caller backs off during an
-	// outage: callers honor a Retry-After of up to a third of their time.
+	// outage, because callers honor a Retry-After of up to a third of their time.
 	outageBackoffFraction = 0.33
 	// maxOutageBackoff caps the backoff during an outage, so that a caller with much time left
 	// returns soon after a short outage.
@@ -17,12 +17,12 @@
 
 // Rejection describes a rejected request for computing its backoff.
 type Rejection struct {
-	// TargetLatency is the time within which requests of the class should begin. Remaining is what
-	// is left of the caller's time.
+	// TargetLatency is the time within which requests of the class should begin. Remaining is the
+	// time until the caller's deadline.
 	TargetLatency time.Duration
 	Remaining     time.Duration
-	// AvailableIn is the time until the first instance accepts requests if all are known to accept
-	// none before, zero otherwise.
+	// AvailableIn is the time until the first instance accepts requests if all instances are
+	// blocked, zero otherwise.
 	AvailableIn time.Duration
 	// Unavailable reports whether the service can't serve any request.
 	Unavailable bool
--- a/retry/window.go
+++ b/retry/window.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// slotDuration is the resolution of the sliding window. One slot more than the window is
-	// counted, so that no span of the window's length exceeds the allowance.
+	// slotDuration is the resolution of the sliding window. The count covers one slot more than the
+	// window, so that no span of the window's length exceeds the allowance.
 	slotDuration = 500 * time.Millisecond
 	// usableFraction is the part of the allowance that is spent. The rest covers requests that
 	// other entries count in a different slot.
@@ -23,8 +23,8 @@
 	Window time.Duration
 }
 
-// WindowBudget limits the retries of each service over a sliding window. Each entry spends its own
-// share without coordination.
+// WindowBudget limits the retries to each service over a sliding window. Each entry spends its own
+// share of the allowance without coordination with other entries.
 type WindowBudget struct {
 	allowance Allowance
 	// startedAt is when this entry began to count. The retries of an earlier process of the entry
