--- a/caller/caller.go
+++ b/caller/caller.go
@@ -18,10 +18,10 @@
 	"geraniumpass/stand"
 )
 
-// Verdict is what became of a request, from the caller's side.
+// Verdict is the outcome of a request as the caller sees it.
 type Verdict string
 
-// The verdicts; the last three must never be seen.
+// The verdicts. Lost, Cut and Wrong are violations.
 const (
 	Whole   Verdict = "whole"
 	NotRun  Verdict = "not_run"
@@ -32,7 +32,7 @@
 	Wrong   Verdict = "wrong"
 )
 
-// Result is one request's end.
+// Result is the outcome of one request.
 type Result struct {
 	Verdict Verdict
 	Status  int
@@ -44,7 +44,7 @@
 	Problem entry.Problem
 }
 
-// Caller sends requests to one entry with one account's key.
+// Caller sends requests to one entry with the API key of one account.
 type Caller struct {
 	Entry   string
 	Key     string
@@ -55,13 +55,13 @@
 const defaultTimeout = 30 * time.Second
 
 var (
-	whole = &fasthttp.Client{
+	bufferedClient = &fasthttp.Client{
 		MaxConnsPerHost: 4096,
 		RetryIfErr:      func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-		// A connection that the other side is about to close must not be reused.
+		// The limit keeps a connection from being reused while the entry is about to close it.
 		MaxIdleConnDuration: 500 * time.Millisecond,
 	}
-	stream = &fasthttp.Client{
+	streamingClient = &fasthttp.Client{
 		MaxConnsPerHost:     4096,
 		RetryIfErr:          func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
 		MaxIdleConnDuration: 500 * time.Millisecond,
@@ -69,7 +69,7 @@
 	}
 )
 
-// Completion asks a model for n tokens and compares every one.
+// Completion requests n tokens from a model and verifies every one.
 func (c *Caller) Completion(model, prompt string, n int, streamed bool, probe string) Result {
 	body, err := json.Marshal(map[string]any{
 		"model":      model,
@@ -83,24 +83,24 @@
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	c.fill(req, fasthttp.MethodPost, "/v1/completions", body, probe)
+	c.prepare(req, fasthttp.MethodPost, "/v1/completions", body, probe)
 	started := time.Now()
-	client := whole
+	client := bufferedClient
 	if streamed {
-		client = stream
+		client = streamingClient
 	}
 	if err := client.DoTimeout(req, resp, c.timeout()); err != nil {
-		return c.failed(err, started)
+		return c.transportFailure(err, started)
 	}
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return problem(resp, started)
+		return problemResult(resp, started)
 	}
 	if streamed {
 		return readStream(resp, prompt, n, started)
 	}
 	var out stand.Completion
 	if err := json.Unmarshal(resp.Body(), &out); err != nil || len(out.Choices) != 1 {
-		return Result{Verdict: Cut, Detail: fmt.Sprint("not a completion: ", err), Took: time.Since(started)}
+		return Result{Verdict: Cut, Detail: fmt.Sprint("response is not a completion: ", err), Took: time.Since(started)}
 	}
 	r := Result{
 		Verdict: Whole,
@@ -110,26 +110,26 @@
 	}
 	if out.Choices[0].Text != stand.Text(prompt, n) {
 		r.Verdict = Wrong
-		r.Detail = "the text is of another prompt or not whole"
+		r.Detail = "text is incomplete or belongs to another prompt"
 	}
 	return r
 }
 
-// Plain calls a plain service and compares what it echoes.
+// Plain calls a plain service and verifies the echo.
 func (c *Caller) Plain(method, service, path string, body []byte, probe, key string) Result {
 	req, resp := fasthttp.AcquireRequest(), fasthttp.AcquireResponse()
 	defer fasthttp.ReleaseRequest(req)
 	defer fasthttp.ReleaseResponse(resp)
-	c.fill(req, method, "/services/"+service+path, body, probe)
+	c.prepare(req, method, "/services/"+service+path, body, probe)
 	if key != "" {
 		req.Header.Set("Idempotency-Key", key)
 	}
 	started := time.Now()
-	if err := whole.DoTimeout(req, resp, c.timeout()); err != nil {
-		return c.failed(err, started)
+	if err := bufferedClient.DoTimeout(req, resp, c.timeout()); err != nil {
+		return c.transportFailure(err, started)
 	}
 	if bytes.HasPrefix(resp.Header.ContentType(), []byte("application/problem+json")) {
-		return problem(resp, started)
+		return problemResult(resp, started)
 	}
 	r := Result{
 		Verdict: Whole,
@@ -162,7 +162,7 @@
 	return defaultTimeout
 }
 
-func (c *Caller) fill(req *fasthttp.Request, method, path string, body []byte, probe string) {
+func (c *Caller) prepare(req *fasthttp.Request, method, path string, body []byte, probe string) {
 	req.SetRequestURI("http://" + c.Entry + path)
 	req.URI().DisablePathNormalizing = true
 	req.Header.SetMethod(method)
@@ -178,20 +178,21 @@
 	}
 }
 
-func (c *Caller) failed(err error, started time.Time) Result {
+func (c *Caller) transportFailure(err error, started time.Time) Result {
 	r := Result{
 		Verdict: Lost,
 		Detail:  err.Error(),
 		Took:    time.Since(started),
 	}
-	// A refused connection reached nobody: the platform's balancer would have tried the next entry.
+	// A refused connection means that no entry got the request: the platform's balancer would have
+	// tried the next one.
 	if strings.Contains(err.Error(), "connection refused") {
 		r.Verdict = Refused
 	}
 	return r
 }
 
-func problem(resp *fasthttp.Response, started time.Time) Result {
+func problemResult(resp *fasthttp.Response, started time.Time) Result {
 	r := Result{
 		Verdict: Wrong,
 		Status:  resp.StatusCode(),
@@ -230,7 +231,7 @@
 			return r
 		}
 		if strings.HasPrefix(line, "event: error") {
-			return streamProblem(lines, r)
+			return streamErrorResult(lines, r)
 		}
 		data, ok := strings.CutPrefix(strings.TrimSpace(line), "data: ")
 		if !ok {
@@ -267,7 +268,7 @@
 	return nil
 }
 
-func streamProblem(lines *bufio.Reader, r Result) Result {
+func streamErrorResult(lines *bufio.Reader, r Result) Result {
 	line, _ := lines.ReadString('\n')
 	data, _ := strings.CutPrefix(strings.TrimSpace(line), "data: ")
 	r.Verdict = Cut
--- a/caller/doc.go
+++ b/caller/doc.go
@@ -1,2 +1,2 @@
-// Package caller is a stand-in caller that checks every byte of what it is answered.
+// Package caller provides a test caller that verifies every byte of the responses it receives.
 package caller
--- a/chaos/events.go
+++ b/chaos/events.go
@@ -87,21 +87,21 @@
 func (r *run) cutLink(duration time.Duration) {
 	relay, name := r.randomRelay()
 	r.logEvent("cut %s for %s", name, duration)
-	relay.Set(stand.Break{Cut: true})
+	relay.Set(stand.RelayFault{Cut: true})
 	time.Sleep(duration)
-	relay.Set(stand.Break{})
+	relay.Set(stand.RelayFault{})
 }
 
 func (r *run) stallLinkDirection(duration time.Duration) {
 	relay, name := r.randomRelay()
 	back := r.random.IntN(2) == 0
 	r.logEvent("stall one direction (reverse: %t) of %s for %s", back, name, 2*duration)
-	relay.Set(stand.Break{
+	relay.Set(stand.RelayFault{
 		HoldBack:    back,
 		HoldForward: !back,
 	})
 	time.Sleep(2 * duration)
-	relay.Set(stand.Break{})
+	relay.Set(stand.RelayFault{})
 }
 
 func (r *run) storeOutage(duration time.Duration) {
@@ -124,14 +124,14 @@
 
 func (r *run) expireLeases(time.Duration) {
 	r.logEvent("expire every renewed lease")
-	r.d.KeyValue.EndLeases(maxHolderPause)
+	r.d.KeyValue.ExpireLeases(maxHolderPause)
 }
 
 // cutDomain isolates a failure domain from the platform and from the agents of other domains.
 func (r *run) cutDomain(duration time.Duration) {
 	domain := r.d.Plan.Domains[r.random.IntN(len(r.d.Plan.Domains))]
 	r.logEvent("isolate %s for %s", domain, 2*duration)
-	set := func(b stand.Break) {
+	set := func(b stand.RelayFault) {
 		r.d.StoreRelays[domain].Set(b)
 		for id, relay := range r.d.AgentRelays[domain] {
 			if r.d.Agents[id].Domain != domain {
@@ -139,9 +139,9 @@
 			}
 		}
 	}
-	set(stand.Break{Cut: true})
+	set(stand.RelayFault{Cut: true})
 	time.Sleep(2 * duration)
-	set(stand.Break{})
+	set(stand.RelayFault{})
 }
 
 // killDuringOutage kills an agent and an entry during an outage of the key-value service.
--- a/proof/config_test.go
+++ b/proof/config_test.go
@@ -275,11 +275,11 @@
 	t.Run("a failure domain cut off from the platform and healed", func(t *testing.T) {
 		t.Parallel()
 		d := launch(t, smallPlan(), deploy.Options{})
-		d.StoreRelays["hall-c"].Set(stand.Break{Cut: true})
+		d.StoreRelays["hall-c"].Set(stand.RelayFault{Cut: true})
 		revision := applyChange(t, d, 0, op)
 		// Links to entries and agents in other failure domains propagate the change.
 		waitForTarget(t, d, revision)
-		d.StoreRelays["hall-c"].Set(stand.Break{})
+		d.StoreRelays["hall-c"].Set(stand.RelayFault{})
 		waitForTarget(t, d, revision)
 	})
 	t.Run("agents replaced during an outage", func(t *testing.T) {
--- a/proof/domain_test.go
+++ b/proof/domain_test.go
@@ -27,7 +27,7 @@
 		return postBooking(d, entry, "?ms=2", "once-"+probe, "")
 	})
 	l.waitForMore(t, 60)
-	cut := func(b stand.Break) {
+	cut := func(b stand.RelayFault) {
 		d.StoreRelays[domain].Set(b)
 		for id, relay := range d.AgentRelays[domain] {
 			if d.Agents[id].Domain != domain {
@@ -36,10 +36,10 @@
 		}
 	}
 	from := l.completed()
-	cut(stand.Break{Cut: true})
+	cut(stand.RelayFault{Cut: true})
 	l.waitForMore(t, 300)
 	to := l.completed()
-	cut(stand.Break{})
+	cut(stand.RelayFault{})
 	healed := time.Now()
 	if err := d.WaitUsable(entry, len(d.Agents)); err != nil {
 		t.Error(err)
--- a/proof/leave_test.go
+++ b/proof/leave_test.go
@@ -41,7 +41,7 @@
 		}},
 		{name: "said by the list while links towards entries are held", leave: func(_ *testing.T, d *deploy.Deployment) {
 			for _, domain := range d.Plan.Domains[1:] {
-				d.AgentRelays[domain][id].Set(stand.Break{HoldBack: true})
+				d.AgentRelays[domain][id].Set(stand.RelayFault{HoldBack: true})
 			}
 			d.SetLeaving(id, true)
 		}},
--- a/proof/map_test.go
+++ b/proof/map_test.go
@@ -151,7 +151,7 @@
 		}},
 		{name: "leases ended while their holder is at work, and the next holder's answer lost", injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
 			waitForMidSwitch(t, g)
-			d.KeyValue.EndLeases(time.Minute)
+			d.KeyValue.ExpireLeases(time.Minute)
 			d.KeyValue.SetFault(stand.Fault{LoseNext: 3})
 		}},
 		{name: "agents restarted in mid-switch", injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
@@ -166,12 +166,12 @@
 		}},
 		{name: "orders and replies held in one direction", fence: true, injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
 			domain := leaderOf(d).Domain
-			for _, brk := range []stand.Break{{HoldForward: true}, {HoldBack: true}, {Delay: 20 * time.Millisecond}} {
+			for _, brk := range []stand.RelayFault{{HoldForward: true}, {HoldBack: true}, {Delay: 20 * time.Millisecond}} {
 				waitForMidSwitch(t, g)
 				d.AgentRelays[domain][model+"-02"].Set(brk)
 				step := g.Step()
 				eventually(t, "the group to step or stall", func() bool { return g.Step() > step || g.Stalled() > 0 })
-				d.AgentRelays[domain][model+"-02"].Set(stand.Break{})
+				d.AgentRelays[domain][model+"-02"].Set(stand.RelayFault{})
 			}
 		}},
 	}
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -125,11 +125,11 @@
 		{name: "links cut while answers are under way", injectFault: func(t *testing.T, d *deploy.Deployment, l *load) {
 			for range 3 {
 				for _, domain := range d.Plan.Domains {
-					d.AgentRelays[domain][plain+"-01"].Set(stand.Break{Cut: true})
+					d.AgentRelays[domain][plain+"-01"].Set(stand.RelayFault{Cut: true})
 				}
 				l.waitForMore(t, 20)
 				for _, domain := range d.Plan.Domains {
-					d.AgentRelays[domain][plain+"-01"].Set(stand.Break{})
+					d.AgentRelays[domain][plain+"-01"].Set(stand.RelayFault{})
 				}
 				l.waitForMore(t, 20)
 			}
@@ -234,8 +234,8 @@
 		for _, domain := range d.Plan.Domains {
 			for i := range 3 {
 				r := d.AgentRelays[domain][fmt.Sprintf("%s-%02d", plain, i)]
-				r.Set(stand.Break{Cut: true})
-				r.Set(stand.Break{})
+				r.Set(stand.RelayFault{Cut: true})
+				r.Set(stand.RelayFault{})
 			}
 		}
 	}
@@ -252,7 +252,7 @@
 	const probe = "held"
 	home := plain + "-00"
 	relay := d.AgentRelays[d.Entries[0].Domain][home]
-	relay.Set(stand.Break{HoldForward: true})
+	relay.Set(stand.RelayFault{HoldForward: true})
 	first := make(chan sentRequest, 1)
 	go func() { first <- postBooking(d, 0, "", probe, probe) }()
 	eventually(t, "the claim to be stored", func() bool {
@@ -264,8 +264,8 @@
 	if s := postBooking(d, 1, "", probe, probe); s.result.Verdict != caller.Whole {
 		t.Fatalf("repeated request got %+v", s.result)
 	}
-	relay.Set(stand.Break{Cut: true})
-	relay.Set(stand.Break{})
+	relay.Set(stand.RelayFault{Cut: true})
+	relay.Set(stand.RelayFault{})
 	if s := <-first; s.result.Verdict != caller.Whole {
 		t.Errorf("first request got %+v, want the answer of the single run", s.result)
 	}
--- a/proof/stop_test.go
+++ b/proof/stop_test.go
@@ -27,7 +27,7 @@
 			return []*deploy.Process{d.Entries[1], d.Agents[model+"-01"], d.Agents[plain+"-01"]}
 		}},
 		{name: "an entry during a cut to an agent", stop: func(_ *testing.T, d *deploy.Deployment) []*deploy.Process {
-			d.AgentRelays[d.Entries[2].Domain][model+"-02"].Set(stand.Break{Cut: true})
+			d.AgentRelays[d.Entries[2].Domain][model+"-02"].Set(stand.RelayFault{Cut: true})
 			return []*deploy.Process{d.Entries[2]}
 		}},
 	}
--- a/proof/whole_test.go
+++ b/proof/whole_test.go
@@ -52,11 +52,11 @@
 func TestStreamsSurviveLinksCut(t *testing.T) {
 	breaks := []struct {
 		name string
-		brk  stand.Break
+		brk  stand.RelayFault
 	}{
-		{name: "cut", brk: stand.Break{Cut: true}},
-		{name: "towards the agent", brk: stand.Break{HoldForward: true}},
-		{name: "towards the entry", brk: stand.Break{HoldBack: true}},
+		{name: "cut", brk: stand.RelayFault{Cut: true}},
+		{name: "towards the agent", brk: stand.RelayFault{HoldForward: true}},
+		{name: "towards the entry", brk: stand.RelayFault{HoldBack: true}},
 	}
 	d := launch(t, smallPlan(), deploy.Options{})
 	for _, tt := range breaks {
@@ -68,7 +68,7 @@
 			}
 			l.waitForMore(t, 18)
 			for _, domain := range d.Plan.Domains {
-				d.AgentRelays[domain][model+"-02"].Set(stand.Break{})
+				d.AgentRelays[domain][model+"-02"].Set(stand.RelayFault{})
 			}
 			l.waitForMore(t, 18)
 			checkVerdicts(t, l.stopAndWait(), caller.Whole)
--- a/stand/counter.go
+++ b/stand/counter.go
@@ -2,7 +2,7 @@
 
 import "sync"
 
-// Counter counts the runs of each probe over all upstreams that share it.
+// Counter counts executions by probe ID over all upstreams that share it.
 type Counter struct {
 	mu   sync.Mutex
 	runs map[string]int
@@ -13,7 +13,8 @@
 	return &Counter{runs: make(map[string]int)}
 }
 
-// Add counts one more run and returns the number so far; an empty probe isn't counted.
+// Add counts one execution and returns the number so far; it ignores an empty probe ID and returns
+// 0.
 func (c *Counter) Add(probe string) int {
 	if probe == "" {
 		return 0
@@ -24,7 +25,7 @@
 	return c.runs[probe]
 }
 
-// Runs returns how often a probe ran.
+// Runs returns the number of executions of a probe.
 func (c *Counter) Runs(probe string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/stand/diff.go
+++ b/stand/diff.go
@@ -2,7 +2,8 @@
 
 import "geraniumpass/place"
 
-// placementDiff counts the experts that a rank must load to go from one encoded placement to another.
+// placementDiff returns the number of experts that a rank must load to change from one encoded
+// placement to another, or 0 if either cannot be decoded.
 func placementDiff(from, to []byte, rank int) int {
 	a, errA := place.Decode(from)
 	b, errB := place.Decode(to)
--- a/stand/doc.go
+++ b/stand/doc.go
@@ -1,2 +1,3 @@
-// Package stand holds the small stand-ins for what surrounds the system: platform, model engines, plain services and the network.
+// Package stand provides stand-ins for the surroundings of the system: the platform, model engines,
+// plain services and the network.
 package stand
--- a/stand/engine.go
+++ b/stand/engine.go
@@ -14,13 +14,15 @@
 	"geraniumpass/core"
 )
 
-// HeaderResume tells an engine how many tokens of the stream are already delivered; its answer says by it that it goes on there.
+// HeaderResume is the request header with the number of stream tokens already delivered; the
+// response repeats it if the engine resumes there.
 const HeaderResume = "X-Resume-From"
 
-// batchKnee is the number of concurrent streams beyond which each further one slows a step down.
-const batchKnee = 16
+// Beyond maxFullSpeedStreams concurrent streams the step time grows in proportion to their number.
+const maxFullSpeedStreams = 16
 
-// Engine is a model engine: its tokens depend only on the prompt, so that a caller can check every byte.
+// Engine emulates a model engine. Its tokens depend only on the prompt, so that a caller can verify
+// every byte.
 type Engine struct {
 	Server *Server
 	Runs   *Counter
@@ -38,7 +40,8 @@
 	cancelled map[string]time.Time
 }
 
-// NewEngine returns an engine for address that makes a token each stepTime while it is not crowded.
+// NewEngine returns an engine for address that generates one token per stepTime while at most
+// maxFullSpeedStreams streams run.
 func NewEngine(address, model string, stepTime time.Duration, runs *Counter) *Engine {
 	e := &Engine{
 		Runs:      runs,
@@ -51,7 +54,7 @@
 	return e
 }
 
-// Close ends the engine for good.
+// Close stops the engine permanently.
 func (e *Engine) Close() {
 	close(e.done)
 	e.Server.Stop()
@@ -62,14 +65,14 @@
 	e.rank = r
 }
 
-// SetLeaving makes the engine say of itself that it leaves.
+// SetLeaving sets whether the engine's health response announces that it is leaving.
 func (e *Engine) SetLeaving(leaving bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = leaving
 }
 
-// SetStalled makes the engine's streams stand still, while it answers everything else.
+// SetStalled sets whether the engine's streams stall; it still answers all other requests.
 func (e *Engine) SetStalled(stalled bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -81,7 +84,7 @@
 	return e.running.Load()
 }
 
-// Generated returns the number of tokens made so far.
+// Generated returns the number of tokens generated so far.
 func (e *Engine) Generated() int64 {
 	return e.generated.Load()
 }
@@ -148,7 +151,7 @@
 				return
 			}
 		}
-		WriteJSON(ctx, whole(id, req, chat))
+		WriteJSON(ctx, fullCompletion(id, req, chat))
 		return
 	}
 	ctx.SetContentType("text/event-stream")
@@ -167,7 +170,7 @@
 		if !e.step(id) {
 			return
 		}
-		b, _ := json.Marshal(part(id, req, Token(req.prompt(), i), chat))
+		b, _ := json.Marshal(chunk(id, req, Token(req.prompt(), i), chat))
 		_, _ = fmt.Fprintf(w, "data: %s\n\n", b)
 		if w.Flush() != nil {
 			return
@@ -177,11 +180,12 @@
 	_ = w.Flush()
 }
 
-// step waits for one token's time and returns false when the stream was cancelled or the engine closed.
+// step waits for one step time and reports whether the stream may continue, that is, it was not
+// cancelled and the engine not closed.
 func (e *Engine) step(id string) bool {
 	d := e.stepTime
-	if n := e.running.Load(); n > batchKnee {
-		d = d * time.Duration(n) / batchKnee
+	if n := e.running.Load(); n > maxFullSpeedStreams {
+		d = d * time.Duration(n) / maxFullSpeedStreams
 	}
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -191,11 +195,12 @@
 		return false
 	}
 	e.generated.Add(1)
-	return e.goesOn(id)
+	return e.waitWhileStalled(id)
 }
 
-// goesOn waits while the engine is stalled and returns false when the stream was cancelled or the engine closed.
-func (e *Engine) goesOn(id string) bool {
+// waitWhileStalled blocks while the engine is stalled and reports whether the stream may continue,
+// that is, it was not cancelled and the engine not closed.
+func (e *Engine) waitWhileStalled(id string) bool {
 	for {
 		e.mu.Lock()
 		_, gone := e.cancelled[id]
--- a/stand/fault.go
+++ b/stand/fault.go
@@ -1,15 +1,15 @@
 package stand
 
-// Fault is the way in which a stand-in misbehaves until it is set back.
+// Fault is a fault injected into a stand-in until it is replaced by the zero Fault.
 type Fault struct {
-	// Down refuses every call.
+	// Down makes every call fail.
 	Down bool `json:"down"`
-	// Delay holds every call up for this many milliseconds.
+	// Delay delays every call by this many milliseconds.
 	Delay int `json:"delay"`
-	// LoseAnswers carries writes out and then closes the connection without an answer.
+	// LoseAnswers executes writes and then closes the connection without a response.
 	LoseAnswers bool `json:"lose_answers"`
-	// LoseNext is LoseAnswers for this many writes.
+	// LoseNext does the same as LoseAnswers for this many writes.
 	LoseNext int `json:"lose_next"`
-	// Stale makes the instance list show its rows as they were when the fault began.
+	// Stale makes the instance list return its rows as of the start of the fault.
 	Stale bool `json:"stale"`
 }
--- a/stand/group.go
+++ b/stand/group.go
@@ -7,13 +7,14 @@
 	"geraniumpass/proto"
 )
 
-// Group is a set of ranks in lock-step; it compares the map of all ranks in every step.
+// Group is a set of ranks that run in lock-step; it compares the map versions of all ranks in every
+// step.
 type Group struct {
-	ranks []*Rank
-	store *weightStore
-	base  time.Duration
-	stop  chan struct{}
-	wg    sync.WaitGroup
+	ranks        []*Rank
+	weights      *weightStore
+	stepInterval time.Duration
+	stop         chan struct{}
+	wg           sync.WaitGroup
 
 	mu         sync.Mutex
 	popularity []float64
@@ -22,7 +23,7 @@
 	stalled    time.Duration
 }
 
-// Violations counts the steps in which two ranks used different maps.
+// Violations returns the number of steps in which two ranks used different maps.
 func (g *Group) Violations() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -36,7 +37,7 @@
 	return g.step
 }
 
-// Stalled returns how long the group has waited for ranks that held back.
+// Stalled returns the total time the group has waited for ranks that held a step back.
 func (g *Group) Stalled() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -48,22 +49,23 @@
 	return g.ranks
 }
 
-// SetPopularity changes the tokens that each expert draws.
+// SetPopularity sets the number of tokens that each expert receives.
 func (g *Group) SetPopularity(p []float64) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.popularity = append([]float64{}, p...)
 }
 
-// NewGroup returns a running group whose ranks start under the given map, step every base and load weights at rate experts a second.
+// NewGroup starts a group whose ranks begin with the given map, run a step every base and load
+// weights at rate experts per second.
 func NewGroup(ranks int, first []byte, popularity []float64, base time.Duration, rate float64, checkFence bool) *Group {
 	g := &Group{
-		store: &weightStore{
+		weights: &weightStore{
 			rate: rate,
 		},
-		base:       base,
-		stop:       make(chan struct{}),
-		popularity: popularity,
+		stepInterval: base,
+		stop:         make(chan struct{}),
+		popularity:   popularity,
 	}
 	for i := range ranks {
 		g.ranks = append(g.ranks, &Rank{
@@ -84,7 +86,7 @@
 	return g
 }
 
-// Close ends the group.
+// Close stops the group.
 func (g *Group) Close() {
 	close(g.stop)
 	g.wg.Wait()
@@ -92,7 +94,7 @@
 
 func (g *Group) run() {
 	defer g.wg.Done()
-	t := time.NewTicker(g.base)
+	t := time.NewTicker(g.stepInterval)
 	defer t.Stop()
 	used := make([]uint64, len(g.ranks))
 	begun := make([]bool, len(g.ranks))
@@ -102,17 +104,17 @@
 			return
 		case <-t.C:
 		}
-		// Each rank begins as soon as it may: one that does not hold back does not wait for the others.
+		// Each rank begins a step as soon as it may and does not wait for ranks that are held back.
 		all := true
 		for i, r := range g.ranks {
 			if !begun[i] {
-				used[i], begun[i] = r.begin(step)
+				used[i], begun[i] = r.beginStep(step)
 			}
 			all = all && begun[i]
 		}
 		if !all {
 			g.mu.Lock()
-			g.stalled += g.base
+			g.stalled += g.stepInterval
 			g.mu.Unlock()
 			continue
 		}
@@ -134,7 +136,7 @@
 	}
 }
 
-func (g *Group) tokensOf(rank int) []float64 {
+func (g *Group) expertTokens(rank int) []float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	if rank != 0 {
--- a/stand/http.go
+++ b/stand/http.go
@@ -7,7 +7,8 @@
 	"github.com/valyala/fasthttp"
 )
 
-// ReadJSON decodes a request's body into v, or answers 400 and returns false.
+// ReadJSON decodes the request body into v; on failure it responds with status 400 and returns
+// false.
 func ReadJSON(ctx *fasthttp.RequestCtx, v any) bool {
 	if err := json.Unmarshal(ctx.PostBody(), v); err != nil {
 		ctx.Error(err.Error(), fasthttp.StatusBadRequest)
@@ -16,7 +17,7 @@
 	return true
 }
 
-// WriteJSON answers with v and leaves the status as it is.
+// WriteJSON writes v as the JSON response body and leaves the status unchanged.
 func WriteJSON(ctx *fasthttp.RequestCtx, v any) {
 	b, err := json.Marshal(v)
 	if err != nil {
@@ -27,8 +28,9 @@
 	ctx.SetBody(b)
 }
 
-// LoseAnswer closes the caller's connection without an answer, as when it is lost on its way.
-func LoseAnswer(ctx *fasthttp.RequestCtx) {
+// DropResponse closes the caller's connection without a response, as if the response had been lost
+// in transit.
+func DropResponse(ctx *fasthttp.RequestCtx) {
 	ctx.HijackSetNoResponse(true)
 	ctx.Hijack(closeConn)
 }
--- a/stand/list.go
+++ b/stand/list.go
@@ -8,34 +8,34 @@
 	"geraniumpass/core"
 )
 
-// List is the platform's instance list; GET /instances returns its rows.
+// List emulates the platform's instance list; GET /instances returns its rows.
 type List struct {
 	Server *Server
 
-	mu    sync.Mutex
-	rows  []core.Instance
-	shown []core.Instance
-	fault Fault
+	mu        sync.Mutex
+	rows      []core.Instance
+	staleRows []core.Instance
+	fault     Fault
 }
 
-// NewList returns a list for address with the given rows.
+// NewList returns a list with the given rows for address.
 func NewList(address string, rows []core.Instance) *List {
 	l := &List{rows: rows}
 	l.Server = NewServer(address, l.handle)
 	return l
 }
 
-// SetFault changes how the list misbehaves.
+// SetFault sets the fault to inject.
 func (l *List) SetFault(f Fault) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if f.Stale && !l.fault.Stale {
-		l.shown = append([]core.Instance{}, l.rows...)
+		l.staleRows = append([]core.Instance{}, l.rows...)
 	}
 	l.fault = f
 }
 
-// SetLeaving marks one instance.
+// SetLeaving sets whether an instance is marked as leaving.
 func (l *List) SetLeaving(id string, leaving bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -46,7 +46,7 @@
 	}
 }
 
-// Add puts one more instance on the list.
+// Add appends an instance to the list.
 func (l *List) Add(row core.Instance) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,7 +60,7 @@
 	case l.fault.Down:
 		ctx.Error("unavailable", fasthttp.StatusServiceUnavailable)
 	case l.fault.Stale:
-		WriteJSON(ctx, l.shown)
+		WriteJSON(ctx, l.staleRows)
 	default:
 		WriteJSON(ctx, l.rows)
 	}
--- a/stand/plain.go
+++ b/stand/plain.go
@@ -8,10 +8,11 @@
 	"github.com/valyala/fasthttp"
 )
 
-// HeaderProbe names the header by which a test's caller marks an operation, so that its runs can be counted.
+// HeaderProbe is the request header with the probe ID by which executions of an operation are
+// counted.
 const HeaderProbe = "X-Probe-Id"
 
-// Echo is what the plain service answers.
+// Echo is the response body of the plain service.
 type Echo struct {
 	Method string `json:"method"`
 	Path   string `json:"path"`
@@ -21,7 +22,8 @@
 	Runs   int    `json:"runs"`
 }
 
-// Plain is a plain service that counts runs by probe; "ms" in the query is how long a call takes and "lose" loses its answer.
+// Plain is a plain service that counts executions by probe ID. The query parameter "ms" sets the
+// duration of a call in milliseconds, and "lose" drops the response.
 type Plain struct {
 	Server *Server
 	Runs   *Counter
@@ -38,14 +40,14 @@
 	return p
 }
 
-// SetLeaving makes the service say of itself that it leaves.
+// SetLeaving sets whether the service's health response announces that it is leaving.
 func (p *Plain) SetLeaving(leaving bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.leaving = leaving
 }
 
-// Calls returns how many calls were put to this instance.
+// Calls returns the number of calls that reached this instance.
 func (p *Plain) Calls() int64 {
 	return p.calls.Load()
 }
@@ -65,7 +67,7 @@
 		time.Sleep(time.Duration(ms) * time.Millisecond)
 	}
 	if args.Has("lose") {
-		LoseAnswer(ctx)
+		DropResponse(ctx)
 		return
 	}
 	if status := args.GetUintOrZero("status"); status > 0 {
@@ -86,7 +88,7 @@
 	}
 }
 
-// Bulk returns a body of the given size that depends on the probe.
+// Bulk returns a body of the given size in bytes that depends on the probe ID.
 func Bulk(probe string, size int) []byte {
 	b := make([]byte, 0, size+16)
 	for i := 0; len(b) < size; i++ {
@@ -95,7 +97,7 @@
 	return b[:size]
 }
 
-// Health is an upstream's word on itself.
+// Health is the response body of an upstream's health check.
 type Health struct {
 	Leaving bool `json:"leaving"`
 }
--- a/stand/rank.go
+++ b/stand/rank.go
@@ -9,7 +9,7 @@
 	"geraniumpass/proto"
 )
 
-// RankOrder is an order as an engine takes it.
+// RankOrder is an order in the JSON format of the engine.
 type RankOrder struct {
 	Kind    proto.OrderKind `json:"kind"`
 	Fence   uint64          `json:"fence"`
@@ -19,13 +19,13 @@
 	Map     []byte          `json:"map,omitempty"`
 }
 
-// RankReply is an engine's answer to an order.
+// RankReply is an engine's response to an order.
 type RankReply struct {
 	OK    bool            `json:"ok"`
 	State proto.RankState `json:"state"`
 }
 
-// Rank is one rank's side of a group: the map it steps under and the orders it holds.
+// Rank is one rank of a group, with its current map and pending orders.
 type Rank struct {
 	group      *Group
 	index      int
@@ -39,14 +39,14 @@
 	loaded map[uint64]time.Time
 }
 
-// State returns a copy of what the rank holds.
+// State returns a copy of the rank's state.
 func (r *Rank) State() proto.RankState {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.view()
+	return r.snapshot()
 }
 
-func (r *Rank) view() proto.RankState {
+func (r *Rank) snapshot() proto.RankState {
 	s := r.state
 	for v, at := range r.loaded {
 		if v > s.Staged && !time.Now().Before(at) {
@@ -54,24 +54,24 @@
 		}
 	}
 	s.Map = r.maps[s.Version]
-	s.Tokens = r.group.tokensOf(r.index)
+	s.Tokens = r.group.expertTokens(r.index)
 	return s
 }
 
-// Order carries one order out; only a rank that checks fencing numbers refuses an old one.
+// Order executes an order. A rank that checks fencing tokens rejects an order with an outdated one.
 func (r *Rank) Order(o RankOrder) RankReply {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.checkFence {
 		if o.Fence < r.fence || o.Fence == r.fence && o.Seq < r.seq {
-			return RankReply{State: r.view()}
+			return RankReply{State: r.snapshot()}
 		}
 		r.fence, r.seq = o.Fence, o.Seq
 	}
 	ok := r.apply(o)
 	return RankReply{
 		OK:    ok,
-		State: r.view(),
+		State: r.snapshot(),
 	}
 }
 
@@ -82,12 +82,12 @@
 		return true
 	case proto.OrderStage:
 		if _, ok := r.loaded[o.Version]; !ok {
-			r.loaded[o.Version] = r.group.store.load(r.missing(o.Map))
+			r.loaded[o.Version] = r.group.weights.reserve(r.missing(o.Map))
 			r.maps[o.Version] = o.Map
 		}
-		return r.view().Staged >= o.Version
+		return r.snapshot().Staged >= o.Version
 	case proto.OrderCap:
-		if s.Step > o.Step || s.Granted || s.Version >= o.Version || r.view().Staged < o.Version {
+		if s.Step > o.Step || s.Granted || s.Version >= o.Version || r.snapshot().Staged < o.Version {
 			return false
 		}
 		s.Capped, s.CapMap, s.CapStep = true, o.Version, o.Step
@@ -110,13 +110,13 @@
 	return false
 }
 
-// missing counts the experts of a map that this rank doesn't hold under its present one.
+// missing counts the experts of a map that the rank's current map does not place on it.
 func (r *Rank) missing(next []byte) int {
 	return placementDiff(r.maps[r.state.Version], next, r.index)
 }
 
-// begin starts step s and returns the map's version, or false while the rank holds back.
-func (r *Rank) begin(s uint64) (uint64, bool) {
+// beginStep starts step s and returns the map version, or false while the rank is held back.
+func (r *Rank) beginStep(s uint64) (uint64, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	st := &r.state
--- a/stand/relay.go
+++ b/stand/relay.go
@@ -8,32 +8,32 @@
 	"github.com/zeebo/errs/v2"
 )
 
-const relayBuffer = 32 << 10
+const relayBufferBytes = 32 << 10
 
-// Break is the way in which a relay misbehaves.
-type Break struct {
+// RelayFault is a network fault injected into a relay.
+type RelayFault struct {
 	// Cut closes all connections and refuses new ones.
 	Cut bool
-	// HoldForward keeps what the dialling side sends; HoldBack keeps what the other side sends.
+	// HoldForward holds back data from the dialling side, HoldBack data from the target.
 	HoldForward bool
 	HoldBack    bool
-	// Delay holds every piece up.
+	// Delay delays every chunk of data.
 	Delay time.Duration
 }
 
-// Relay passes TCP connections on to a target and can cut, hold and delay them.
+// Relay forwards TCP connections to a target and can cut, hold and delay them.
 type Relay struct {
 	target string
 	ln     net.Listener
 
 	mu    sync.Mutex
 	cond  *sync.Cond
-	brk   Break
+	fault RelayFault
 	conns map[net.Conn]struct{}
 	done  bool
 }
 
-// NewRelay listens on a free port of the loopback interface.
+// NewRelay returns a relay to target that listens on a free loopback port.
 func NewRelay(target string) (*Relay, error) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -49,23 +49,23 @@
 	return r, nil
 }
 
-// Address returns where the relay listens.
+// Address returns the listen address.
 func (r *Relay) Address() string {
 	return r.ln.Addr().String()
 }
 
-// Set changes how the relay misbehaves; the zero Break heals it.
-func (r *Relay) Set(b Break) {
+// Set sets the fault to inject; the zero RelayFault removes it.
+func (r *Relay) Set(b RelayFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.brk = b
+	r.fault = b
 	r.cond.Broadcast()
 	if b.Cut {
 		r.closeConns()
 	}
 }
 
-// Close ends the relay.
+// Close stops the relay and closes its connections.
 func (r *Relay) Close() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -94,7 +94,7 @@
 
 func (r *Relay) serve(c net.Conn) {
 	r.mu.Lock()
-	cut := r.brk.Cut || r.done
+	cut := r.fault.Cut || r.done
 	r.mu.Unlock()
 	if cut {
 		_ = c.Close()
@@ -109,19 +109,19 @@
 	r.conns[c] = struct{}{}
 	r.conns[t] = struct{}{}
 	r.mu.Unlock()
-	go r.copy(t, c, func(b Break) bool { return b.HoldForward })
-	r.copy(c, t, func(b Break) bool { return b.HoldBack })
+	go r.forward(t, c, func(b RelayFault) bool { return b.HoldForward })
+	r.forward(c, t, func(b RelayFault) bool { return b.HoldBack })
 }
 
-func (r *Relay) copy(dst, src net.Conn, held func(Break) bool) {
-	defer r.forget(dst, src)
-	buf := make([]byte, relayBuffer)
+func (r *Relay) forward(dst, src net.Conn, held func(RelayFault) bool) {
+	defer r.closePair(dst, src)
+	buf := make([]byte, relayBufferBytes)
 	for {
 		n, err := src.Read(buf)
 		if err != nil {
 			return
 		}
-		delay, ok := r.pass(held)
+		delay, ok := r.awaitRelease(held)
 		if !ok {
 			return
 		}
@@ -134,17 +134,18 @@
 	}
 }
 
-// pass waits while the direction is held and returns the delay.
-func (r *Relay) pass(held func(Break) bool) (time.Duration, bool) {
+// awaitRelease blocks while the direction is held. It returns the delay and whether the connection
+// is still to be forwarded.
+func (r *Relay) awaitRelease(held func(RelayFault) bool) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for held(r.brk) && !r.done && !r.brk.Cut {
+	for held(r.fault) && !r.done && !r.fault.Cut {
 		r.cond.Wait()
 	}
-	return r.brk.Delay, !r.done && !r.brk.Cut
+	return r.fault.Delay, !r.done && !r.fault.Cut
 }
 
-func (r *Relay) forget(a, b net.Conn) {
+func (r *Relay) closePair(a, b net.Conn) {
 	_ = a.Close()
 	_ = b.Close()
 	r.mu.Lock()
--- a/stand/server.go
+++ b/stand/server.go
@@ -10,9 +10,9 @@
 	"github.com/zeebo/errs/v2"
 )
 
-const shutdownTime = 200 * time.Millisecond
+const shutdownTimeout = 200 * time.Millisecond
 
-// Server runs one stand-in's handler on an address and can be stopped and started again there.
+// Server serves a stand-in's handler on an address and can be stopped and restarted there.
 type Server struct {
 	handler fasthttp.RequestHandler
 
@@ -30,7 +30,7 @@
 	}
 }
 
-// Start listens and serves in the background; an address with port 0 is given a free port.
+// Start listens and serves in the background; port 0 selects a free port.
 func (s *Server) Start() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -46,7 +46,7 @@
 	s.server = &fasthttp.Server{
 		Handler:            s.handler,
 		NoDefaultDate:      true,
-		Logger:             quiet{},
+		Logger:             discardLogger{},
 		StreamRequestBody:  false,
 		MaxRequestBodySize: 64 << 20,
 	}
@@ -54,14 +54,14 @@
 	return nil
 }
 
-// Address returns the IP and port that are served.
+// Address returns the listen address as IP and port.
 func (s *Server) Address() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.address
 }
 
-// Stop closes the listener and every connection at once, as a crash would.
+// Stop closes the listener and all connections at once, as a crash would.
 func (s *Server) Stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -70,17 +70,18 @@
 	}
 	_ = s.ln.Close()
 	s.ln.closeAll()
-	ctx, cancel := context.WithTimeout(context.Background(), shutdownTime)
+	ctx, cancel := context.WithTimeout(context.Background(), shutdownTimeout)
 	defer cancel()
 	_ = s.server.ShutdownWithContext(ctx)
 	s.ln = nil
 }
 
-// quiet drops the server's words on connections that callers broke, which tests do all the time.
-type quiet struct{}
+// discardLogger drops the server's messages about connections closed by callers, which are routine
+// in tests.
+type discardLogger struct{}
 
 // Printf implements fasthttp.Logger.
-func (quiet) Printf(string, ...any) {}
+func (discardLogger) Printf(string, ...any) {}
 
 type trackedListener struct {
 	net.Listener
--- a/stand/shape.go
+++ b/stand/shape.go
@@ -2,7 +2,8 @@
 
 import "geraniumpass/core"
 
-// Choice is one choice of a completion; Text, Message or Delta is set by the kind of call.
+// Choice is one choice of a completion; the kind of call determines which of Text, Message and
+// Delta is set.
 type Choice struct {
 	Index        int          `json:"index"`
 	Text         string       `json:"text,omitempty"`
@@ -11,7 +12,8 @@
 	FinishReason string       `json:"finish_reason,omitempty"`
 }
 
-// Completion is an answer, or one event of a streamed answer, in the common shape of completion APIs.
+// Completion is a response, or one event of a streamed response, in the usual format of completion
+// APIs.
 type Completion struct {
 	ID      string   `json:"id"`
 	Object  string   `json:"object"`
@@ -19,7 +21,7 @@
 	Choices []Choice `json:"choices"`
 }
 
-func whole(id string, req completion, chat bool) Completion {
+func fullCompletion(id string, req completion, chat bool) Completion {
 	text := Text(req.prompt(), req.MaxTokens)
 	c := Completion{
 		ID:      id,
@@ -40,7 +42,7 @@
 	return c
 }
 
-func part(id string, req completion, token string, chat bool) Completion {
+func chunk(id string, req completion, token string, chat bool) Completion {
 	c := Completion{
 		ID:      id,
 		Object:  "text_completion",
