--- a/admit/line.go
+++ b/admit/line.go
@@ -73,16 +73,16 @@
 }
 
 // Submit adds a request; its ticket is decided at once or by a later call.
-func (c *Controller) Submit(now time.Time, a Request) *Ticket {
+func (c *Controller) Submit(now time.Time, r Request) *Ticket {
 	t := &Ticket{
-		Request: a,
+		Request: r,
 		Decided: make(chan struct{}),
 	}
-	if !a.Retry && t.canStartInTime(now) {
+	if !r.Retry && t.canStartInTime(now) {
 		c.arrivalRate.add(now)
 	}
 	if c.shouldReject(now, t) {
-		t.decide(StateRefused)
+		t.decide(StateRejected)
 		return t
 	}
 	c.waiting = append(c.waiting, t)
@@ -116,14 +116,14 @@
 	c.Poll(now)
 }
 
-// Failed records that a sent request has ended without a start; refused reports whether its
+// Failed records that a sent request has ended without a start; upstreamFault reports whether its
 // upstream is the cause.
-func (c *Controller) Failed(now time.Time, t *Ticket, refused bool) {
+func (c *Controller) Failed(now time.Time, t *Ticket, upstreamFault bool) {
 	if t.state != StateSent {
 		return
 	}
 	c.finish(t)
-	if refused {
+	if upstreamFault {
 		c.failures++
 	}
 	c.Poll(now)
@@ -174,13 +174,13 @@
 	c.rejectWhere(func(t *Ticket) bool { return !t.canStartInTime(start) })
 }
 
-func (c *Controller) rejectWhere(which func(t *Ticket) bool) {
+func (c *Controller) rejectWhere(match func(t *Ticket) bool) {
 	c.waiting = slices.DeleteFunc(c.waiting, func(t *Ticket) bool {
-		over := which(t)
-		if over {
-			t.decide(StateRefused)
+		matches := match(t)
+		if matches {
+			t.decide(StateRejected)
 		}
-		return over
+		return matches
 	})
 }
 
--- a/admit/line_test.go
+++ b/admit/line_test.go
@@ -5,18 +5,18 @@
 	"time"
 )
 
-const aim = 400 * time.Millisecond
+const target = 400 * time.Millisecond
 
 // fresh returns the request of a caller's first attempt.
 func fresh(now time.Time) Request {
 	return Request{
-		Target:  aim,
-		StartBy: now.Add(aim),
+		Target:  target,
+		StartBy: now.Add(target),
 		SendBy:  now.Add(time.Second),
 	}
 }
 
-// retried returns the request of a caller that was refused before.
+// retried returns the request of a caller that retries after a rejection and is already late.
 func retried(now time.Time) Request {
 	a := fresh(now)
 	a.StartBy = now.Add(-time.Second)
@@ -64,67 +64,67 @@
 	}
 }
 
-// TestOverloadIsRefusedOnArrival submits three times as many requests as the service starts: within
-// two seconds, those that can't be on time are refused on arrival, and those that are sent start
+// TestOverloadIsRejectedOnArrival submits three times as many requests as the service starts: within
+// two seconds, those that can't be on time are rejected on arrival, and those that are sent start
 // within their target.
-func TestOverloadIsRefusedOnArrival(t *testing.T) {
+func TestOverloadIsRejectedOnArrival(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestController()
 	const (
 		step = 10 * time.Millisecond
-		// every is the interval between requests, beginEvery the interval between starts, and
+		// submitEvery is the interval between requests, startEvery the interval between starts, and
 		// quickest the minimum start delay, all in steps.
-		every      = 3
-		beginEvery = 9
-		quickest   = 15
+		submitEvery   = 3
+		startEvery    = 9
+		minStartDelay = 15
 	)
-	var underway []*Ticket
-	asked, refused, begunLate, begun := 0, 0, 0, 0
+	var inFlight []*Ticket
+	submitted, rejected, startedLate, started := 0, 0, 0, 0
 	for i := range 1000 {
 		now = now.Add(step)
-		if i%every == 0 {
+		if i%submitEvery == 0 {
 			tk := c.Submit(now, fresh(now))
-			underway = append(underway, tk)
+			inFlight = append(inFlight, tk)
 			if i > 200 {
-				asked++
-				if tk.State() == StateRefused {
-					refused++
+				submitted++
+				if tk.State() == StateRejected {
+					rejected++
 				}
 			}
 		}
 		c.Poll(now)
-		if i%beginEvery != 0 {
+		if i%startEvery != 0 {
 			continue
 		}
-		for k, tk := range underway {
-			if tk.State() != StateSent || now.Sub(tk.sentAt) < quickest*step {
+		for k, tk := range inFlight {
+			if tk.State() != StateSent || now.Sub(tk.sentAt) < minStartDelay*step {
 				continue
 			}
-			underway = append(underway[:k:k], underway[k+1:]...)
+			inFlight = append(inFlight[:k:k], inFlight[k+1:]...)
 			c.Started(now, tk, len(c.sent) > 2)
 			if i > 200 {
-				begun++
+				started++
 				if now.After(tk.StartBy) {
-					begunLate++
+					startedLate++
 				}
 			}
 			break
 		}
 	}
-	if begun < 85 {
-		t.Errorf("%d requests started in eight seconds, of 89 that the service can start", begun)
+	if started < 85 {
+		t.Errorf("%d requests started in eight seconds, of 89 that the service can start", started)
 	}
-	if begunLate*10 > begun {
-		t.Errorf("%d of %d requests started late", begunLate, begun)
+	if startedLate*10 > started {
+		t.Errorf("%d of %d requests started late", startedLate, started)
 	}
-	if refused*2 < asked-begun {
-		t.Errorf("%d of the %d requests that did not start were refused on arrival", refused, asked-begun)
+	if rejected*2 < submitted-started {
+		t.Errorf("%d of the %d requests that did not start were rejected on arrival", rejected, submitted-started)
 	}
 }
 
-// TestIdleServiceAdmitsAfterOverload guards against congestion estimates that refuse requests while
+// TestIdleServiceAdmitsAfterOverload guards against congestion estimates that reject requests while
 // nothing is in flight: with nothing sent, the estimates are never updated and every request is
-// refused for good.
+// rejected for good.
 func TestIdleServiceAdmitsAfterOverload(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestController()
@@ -145,7 +145,7 @@
 }
 
 // TestStalledGroupIsNotOverload stalls a group for a second with few callers: their requests wait
-// instead of being refused.
+// instead of being rejected.
 func TestStalledGroupIsNotOverload(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestController()
@@ -156,14 +156,14 @@
 		c.Poll(now)
 	}
 	for i, tk := range all {
-		if tk.State() == StateRefused {
-			t.Errorf("request %d was refused while the group was stalled", i)
+		if tk.State() == StateRejected {
+			t.Errorf("request %d was rejected while the group was stalled", i)
 		}
 	}
 }
 
 // TestUnavailableServiceIsProbed has a service refuse all requests for six seconds: it gets some
-// probes per second, other requests are refused on arrival, and its first start admits others.
+// probes per second, other requests are rejected on arrival, and its first start admits others.
 func TestUnavailableServiceIsProbed(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newTestController()
--- a/admit/ticket.go
+++ b/admit/ticket.go
@@ -7,12 +7,12 @@
 
 // The states of a ticket.
 const (
-	// StateWaiting means neither sent nor refused yet.
+	// StateWaiting means that the request has been neither sent nor rejected yet.
 	StateWaiting State = iota
 	// StateSent means that the request may go to an upstream now.
 	StateSent
-	// StateRefused means that the request can't be served in time.
-	StateRefused
+	// StateRejected means that the request can't be served in time.
+	StateRejected
 	// StateDone means that the request has started, failed or been canceled.
 	StateDone
 )
@@ -33,7 +33,7 @@
 // Ticket is a request submitted to a Controller.
 type Ticket struct {
 	Request
-	// Decided is closed when the controller sends or refuses the request.
+	// Decided is closed when the controller sends or rejects the request.
 	Decided chan struct{}
 
 	state  State
--- a/group/agent.go
+++ b/group/agent.go
@@ -29,7 +29,8 @@
 	// countsIntervalPerCount limits the counts that a rank sends to 8 KB/s, so that those of many
 	// ranks fit the leader's link of 8 Mbit/s.
 	countsIntervalPerCount = 125 * time.Microsecond
-	// lossyWindow is how long after an unanswered order more of them are expected.
+	// lossyWindow is how long after an unanswered order the engine is expected to leave more orders
+	// unanswered, so that holds lie at least shift.MinAheadLossy steps ahead.
 	lossyWindow = 5 * time.Second
 	// slowLogPace is the ratio of an engine's step time to its usual step time from which the
 	// engine is logged as slow. The usual time includes the cost of batches and long prompts; one
@@ -68,7 +69,7 @@
 	mu     sync.Mutex
 	report Report
 	known  bool
-	// slow reports whether the engine's steps take longer than usual.
+	// slow is set while the engine's pace is slowLogPace or more.
 	slow bool
 	// countsLen is the number of counts that the engine returns.
 	countsLen int
@@ -126,10 +127,10 @@
 	before := a.Clock.Now()
 	retry.Sleep(ctx, wait)
 	now := a.Clock.Now()
-	steady := now.Sub(before)
-	daytime := now.Round(0).Sub(before.Round(0))
-	if max(steady, daytime) > wait+suspendThreshold {
-		a.Log.Warn("machine was suspended or its clock was set", "steady", steady.String(), "daytime", daytime.String())
+	monotonic := now.Sub(before)
+	wall := now.Round(0).Sub(before.Round(0))
+	if max(monotonic, wall) > wait+suspendThreshold {
+		a.Log.Warn("machine was suspended or its clock was set", "steady", monotonic.String(), "daytime", wall.String())
 	}
 }
 
@@ -234,7 +235,7 @@
 	f := a.stateFrame(a.report)
 	now := a.Clock.Now()
 	if l == nil {
-		// The next leader needs counts from its own term only.
+		// Counts from before the next leader's term are of no use to it.
 		a.tally.Take()
 	}
 	if l != nil && (a.urgent || now.Sub(a.countsSentAt) >= time.Duration(a.countsLen)*countsIntervalPerCount) {
--- a/group/election.go
+++ b/group/election.go
@@ -26,10 +26,9 @@
 	campaignBackoff = time.Second
 )
 
-// Elect campaigns whenever no leader is heard and leads after a won election, until ctx ends. The
-// lead is taken by a compare-and-swap in the store, whose revision is the fencing token. There is
-// no lease: heartbeats show that a leader is alive, and the guards refuse a leader that was
-// replaced.
+// Elect campaigns whenever no leader is heard and leads after a won election, until ctx ends. A
+// rank wins by a compare-and-swap in the store, whose revision is the fencing token. There is no
+// lease: heartbeats show that a leader is alive, and the guards refuse a leader that was replaced.
 func (m *Member) Elect(ctx context.Context) {
 	m.loadKnownLeader(ctx)
 	for ctx.Err() == nil {
@@ -48,8 +47,8 @@
 	}
 }
 
-// loadKnownLeader reads the current leader from the store once, as soon as the group is known: a
-// live leader is heard within the first leaderTimeout.
+// loadKnownLeader reads the current leader from the store once, as soon as the group is known. That
+// leader gets no newLeaderGrace: if it is alive, it is heard within the first leaderTimeout.
 func (m *Member) loadKnownLeader(ctx context.Context) {
 	for ctx.Err() == nil {
 		rep, known := m.Agent.Report()
@@ -108,17 +107,17 @@
 	return fmt.Sprintf("leader with fence %d was elected recently and may not have been heard yet", e.Fence)
 }
 
-// campaign tries to take the lead and returns the fence of the new leader.
+// campaign tries to win the election and returns the fence of the new leader.
 func (m *Member) campaign(ctx context.Context, rep Report) (int64, error) {
 	key := m.key(rep)
-	have, err := m.Store.Get(ctx, key)
+	current, err := m.Store.Get(ctx, key)
 	if err != nil {
 		return 0, err
 	}
-	if m.noteNewLeader(have.Modified) {
-		return 0, &RecentLeaderError{Fence: have.Modified}
+	if m.noteNewLeader(current.Modified) {
+		return 0, &RecentLeaderError{Fence: current.Modified}
 	}
-	won, err := m.Store.Swap(ctx, key, []byte(m.Own.ID), have.Modified, 0)
+	won, err := m.Store.Swap(ctx, key, []byte(m.Own.ID), current.Modified, 0)
 	var conflict *store.ConflictError
 	if errors.As(err, &conflict) {
 		// Another rank was faster and its heartbeat will follow.
--- a/group/error.go
+++ b/group/error.go
@@ -11,5 +11,5 @@
 
 // Error returns the message with both starts.
 func (e *StaleStartError) Error() string {
-	return fmt.Sprintf("stale report of the engine start at %d (Unix ms), engine restarted at %d", e.Got, e.Known)
+	return fmt.Sprintf("stale report from the engine started at %d (Unix ms), engine restarted at %d", e.Got, e.Known)
 }
--- a/group/lead.go
+++ b/group/lead.go
@@ -40,7 +40,7 @@
 	planInterval = 50 * time.Millisecond
 	// normalPace is the pace of an engine whose steps take their usual time.
 	normalPace = 1.0
-	// eventQueueSize bounds the events that wait for the leader.
+	// eventQueueSize is the capacity of the leader's event queue.
 	eventQueueSize = 256
 )
 
--- a/group/maps_test.go
+++ b/group/maps_test.go
@@ -49,7 +49,7 @@
 		t.Run(tt.name, func(t *testing.T) {
 			var m mapCache
 			if _, ok := m.resolve(&proto.GroupOrder{Version: 1, Map: base}); !ok {
-				t.Fatal("a whole map was rejected")
+				t.Fatal("a complete map was rejected")
 			}
 			got, ok := m.resolve(&proto.GroupOrder{Version: 2, BaseVersion: 1, MapDelta: encodeChange(base, tt.next)})
 			if !ok || !reflect.DeepEqual(got, tt.next) {
--- a/group/orders.go
+++ b/group/orders.go
@@ -70,14 +70,14 @@
 func (a *Agent) answerOrder(l *wire.Link, seq uint64, o shift.Order, layout [][][]int) {
 	ctx, cancel := context.WithTimeout(context.Background(), orderTimeout)
 	defer cancel()
-	ans, rep := a.completeOrder(ctx, o, layout)
-	if ans == shift.VerdictNotReady {
+	verdict, rep := a.completeOrder(ctx, o, layout)
+	if verdict == shift.VerdictNotReady {
 		return
 	}
 	f := a.stateFrame(rep)
 	f.Seq = seq
-	f.OK = ans == shift.VerdictDone
-	f.Refused = ans == shift.VerdictRefused
+	f.OK = verdict == shift.VerdictDone
+	f.Refused = verdict == shift.VerdictRefused
 	if o.Op == shift.OpAsk {
 		version, lists, err := a.Engine.Lists(ctx)
 		if err != nil {
@@ -90,19 +90,19 @@
 	_ = l.Send(&proto.Frame{RankState: f})
 }
 
-// completeOrder retries an order until the engine's state is what it asks for, or the guard rejects
+// completeOrder retries an order until the engine is in the requested state or the guard rejects
 // it. It returns VerdictNotReady if ctx ends first.
 func (a *Agent) completeOrder(ctx context.Context, o shift.Order, layout [][][]int) (shift.Verdict, Report) {
 	refused := 0
 	for ctx.Err() == nil {
-		ans, rep, sent := a.tryOrder(ctx, o, layout)
+		verdict, rep, sent := a.tryOrder(ctx, o, layout)
 		switch {
-		case ans == shift.VerdictForward && !sent:
+		case verdict == shift.VerdictForward && !sent:
 			if refused++; refused >= maxRefusals {
 				return shift.VerdictMismatch, rep
 			}
-		case ans == shift.VerdictDone, ans == shift.VerdictRefused, ans == shift.VerdictMismatch:
-			return ans, rep
+		case verdict == shift.VerdictDone, verdict == shift.VerdictRefused, verdict == shift.VerdictMismatch:
+			return verdict, rep
 		}
 		if !sent {
 			retry.Sleep(ctx, orderPollInterval)
@@ -113,7 +113,7 @@
 
 // tryOrder reads the engine's state, lets the guard evaluate the order and forwards it. sent is
 // false if the engine refused the order or it was not sent.
-func (a *Agent) tryOrder(ctx context.Context, o shift.Order, layout [][][]int) (ans shift.Verdict, rep Report, sent bool) {
+func (a *Agent) tryOrder(ctx context.Context, o shift.Order, layout [][][]int) (verdict shift.Verdict, rep Report, sent bool) {
 	a.orderMu.Lock()
 	defer a.orderMu.Unlock()
 	rep, err := a.readReport(ctx)
@@ -121,9 +121,9 @@
 		return shift.VerdictNotReady, rep, false
 	}
 	a.guard.Lossy = a.Clock.Since(a.unansweredAt) < lossyWindow
-	ans, send := a.guard.Evaluate(o, rep.State)
-	if ans != shift.VerdictForward {
-		return ans, rep, false
+	verdict, send := a.guard.Evaluate(o, rep.State)
+	if verdict != shift.VerdictForward {
+		return verdict, rep, false
 	}
 	if send.Op == shift.OpPrepare && a.preparing == send.Version && rep.Copying {
 		return shift.VerdictNotReady, rep, false
@@ -136,5 +136,5 @@
 		a.preparing = send.Version
 		return shift.VerdictNotReady, rep, false
 	}
-	return ans, rep, done
+	return verdict, rep, done
 }
--- a/group/phases.go
+++ b/group/phases.go
@@ -26,7 +26,7 @@
 		d.beginSwitch()
 		d.checkPhase(now)
 	}
-	d.abortOverdue(now)
+	d.abandonOverdue(now)
 	d.checkPhase(now)
 	d.sendOrders(now)
 }
@@ -69,7 +69,7 @@
 	}
 }
 
-// recordSwitch counts a completed switch and feeds the duration of its hold to the margin.
+// recordSwitch counts a completed switch and reports the duration of its hold to the margin.
 func (d *leadership) recordSwitch(now time.Time) {
 	mapSwitches.Add(1)
 	mapCopies.Add(int64(d.copies))
@@ -82,8 +82,8 @@
 	d.m.Log.Info("map switched", "group", d.group, "version", d.leader.Version, "step", d.leader.Step, "copies", d.copies, "held", held.String())
 }
 
-// abortOverdue abandons a switch that exceeds its timeout before any rank is armed.
-func (d *leadership) abortOverdue(now time.Time) {
+// abandonOverdue abandons a switch that exceeds its timeout before any rank is armed.
+func (d *leadership) abandonOverdue(now time.Time) {
 	waited := now.Sub(d.phaseSince)
 	switch d.leader.Phase {
 	case shift.PhasePrepare:
--- a/group/send.go
+++ b/group/send.go
@@ -48,8 +48,8 @@
 	return !isClosed || since >= askInterval
 }
 
-// knowsBase reports whether a rank can build the next map from the one in use.
-func (d *leadership) knowsBase(r int) bool {
+// hasBase reports whether a rank has the map in use, from which it can build the next one.
+func (d *leadership) hasBase(r int) bool {
 	return d.inUse != shift.None && d.baseMap[r] == d.inUse
 }
 
@@ -71,13 +71,13 @@
 	return f
 }
 
-// addMap adds the next map to a frame, as a change if the rank knows the map in use. A resend over
+// addMap adds the next map to a frame, as a change if the rank has the map in use. A resend over
 // the same link carries no map: the maps for all ranks of a large group fill a leader's link and
 // delay the orders behind them.
 func (d *leadership) addMap(r int, f *proto.GroupOrder) {
 	switch {
 	case d.mapSent[r] == f.Version:
-	case d.knowsBase(r):
+	case d.hasBase(r):
 		f.BaseVersion, f.MapDelta = d.inUse, d.change
 	default:
 		f.Map = d.layout
--- a/group/send_test.go
+++ b/group/send_test.go
@@ -35,10 +35,10 @@
 	}
 	bare := func(f *proto.GroupOrder) bool { return f.Map == nil && f.BaseVersion == 0 && f.MapDelta == nil }
 	if f := d.orderFrame(known, o); f.BaseVersion != 5 || len(f.MapDelta) == 0 || f.Map != nil {
-		t.Errorf("a rank that knows the map in use is sent %+v", f)
+		t.Errorf("a rank that has the map in use is sent %+v", f)
 	}
 	if f := d.orderFrame(unknown, o); f.Map == nil {
-		t.Error("a rank that does not know the map in use is not sent the whole next map")
+		t.Error("a rank without the map in use is not sent the complete next map")
 	}
 	for r := range 2 {
 		if f := d.orderFrame(r, o); !bare(f) || f.Version != 6 {
--- a/group/slow.go
+++ b/group/slow.go
@@ -106,12 +106,12 @@
 // an absent or empty one.
 func (s *slowRankWriter) write(ctx context.Context, list []core.Pace, revision int64) (int64, error) {
 	if revision == 0 {
-		have, err := s.store.Get(ctx, s.key)
+		current, err := s.store.Get(ctx, s.key)
 		if err != nil {
 			return 0, err
 		}
-		revision = have.Modified
-		if len(list) == 0 && (revision == 0 || string(have.Data) == "[]") {
+		revision = current.Modified
+		if len(list) == 0 && (revision == 0 || string(current.Data) == "[]") {
 			return revision, nil
 		}
 	}
--- a/place/improve.go
+++ b/place/improve.go
@@ -71,12 +71,12 @@
 // orRebuild returns a placement rebuilt from scratch if no single action helps any more, the
 // rebuild stays within maxCopies, and its skew is clearly lower.
 func orRebuild(p, improved *Placement, load []float64, copies, maxCopies int) (*Placement, int) {
-	anew := Align(p, Rebuild(load, p.Ranks, p.Slots))
-	n := p.Copies(anew, -1)
-	if n > maxCopies || 1+anew.Skew(load) > (1+improved.Skew(load))*(1-rebuildMinGain) {
+	rebuilt := Align(p, Rebuild(load, p.Ranks, p.Slots))
+	n := p.Copies(rebuilt, -1)
+	if n > maxCopies || 1+rebuilt.Skew(load) > (1+improved.Skew(load))*(1-rebuildMinGain) {
 		return improved, copies
 	}
-	return anew, n
+	return rebuilt, n
 }
 
 // rebuildMinGain is the least relative gain that justifies a rebuild.
--- a/place/joint_test.go
+++ b/place/joint_test.go
@@ -153,13 +153,13 @@
 	)
 	random := rand.New(rand.NewPCG(3, 9))
 	before, after := zipfShares(random, sets, experts), zipfShares(random, sets, experts)
-	turn := time.Unix(100, 0)
+	shiftAt := time.Unix(100, 0)
 	d := &Demand{
 		HalfLife: time.Second,
 	}
-	for at := turn.Add(-2 * time.Second); at.Before(turn.Add(settled)); at = at.Add(window / ranks) {
+	for at := shiftAt.Add(-2 * time.Second); at.Before(shiftAt.Add(settled)); at = at.Add(window / ranks) {
 		// The part of this rank's window after the shift.
-		part := min(1, max(0, float64(at.Sub(turn))/float64(window)))
+		part := min(1, max(0, float64(at.Sub(shiftAt))/float64(window)))
 		chosen := make([]byte, sets*experts)
 		for i := range chosen {
 			mean := 600 * ((1-part)*before[i] + part*after[i])
--- a/place/pace_test.go
+++ b/place/pace_test.go
@@ -9,7 +9,7 @@
 // all ranks of a group step together, so one slow rank delays every stream until it carries less.
 func TestSlowRanksGetLessLoad(t *testing.T) {
 	const (
-		turns    = 6
+		shifts   = 6
 		switches = 4
 	)
 	tests := []struct {
@@ -41,7 +41,7 @@
 			}
 			aware, blind := 0.0, 0.0
 			unaware := sets
-			for range turns {
+			for range shifts {
 				load := make([][]float64, tt.sets)
 				for s := range load {
 					load[s] = skewedLoad(random, tt.experts)
@@ -51,9 +51,9 @@
 					unaware, _ = ImproveSets(unaware, load, nil, Budget{PerRank: 1, MinGain: 0.012})
 				}
 				peak, mean := Peak(sets, load, pace)
-				aware += peak / mean / turns
+				aware += peak / mean / shifts
 				peak, mean = Peak(unaware, load, pace)
-				blind += peak / mean / turns
+				blind += peak / mean / shifts
 			}
 			t.Logf("step time is %.2f of perfect balance, %.2f when ignoring paces", aware, blind)
 			if aware > tt.most {
--- a/queue/class.go
+++ b/queue/class.go
@@ -2,8 +2,7 @@
 
 import "time"
 
-// classQueue holds the items of one class by account and shares the class fairly among accounts;
-// served is each account's virtual time in cost units.
+// classQueue holds the items of one class by account and shares the class fairly among accounts.
 type classQueue struct {
 	name        string
 	accounts    map[string]*accountQueue
@@ -15,6 +14,7 @@
 	rate          rate
 }
 
+// accountQueue holds the items of one account; served is its virtual time in cost units.
 type accountQueue struct {
 	name   string
 	items  []Item
@@ -63,7 +63,8 @@
 }
 
 // shed removes the newest item of the account with the highest queued cost, which may be the
-// arriving item itself.
+// arriving item itself. An account other than the arriving item's is picked over it only if its
+// cost is higher by more than the cost of the item.
 func (c *classQueue) shed(arrived Item) (Item, bool) {
 	worst := c.accounts[arrived.Account]
 	for _, a := range c.accounts {
--- a/queue/limiter.go
+++ b/queue/limiter.go
@@ -14,7 +14,8 @@
 	uncontendedLimit = 2
 	// minSamples is the number of samples needed before the limit changes again.
 	minSamples = 4
-	smoothing  = 0.1
+	// smoothing is the weight of one sample in the moving average of the time per unit of work.
+	smoothing = 0.1
 	// baselineDrift is the share by which the baseline may grow per sample, so that it follows an
 	// upstream that has become permanently slower.
 	baselineDrift = 0.0005
--- a/route/least.go
+++ b/route/least.go
@@ -41,14 +41,14 @@
 // LeastLoaded returns the index of the instance with the least load relative to its slots, or -1 if
 // there are none. It prefers the own failure domain, the preferred subset and idle connections
 // where that costs little load, and breaks ties at random.
-func LeastLoaded(seen []InstanceView, domain string, random *rand.Rand) int {
+func LeastLoaded(views []InstanceView, domain string, random *rand.Rand) int {
 	best, bestScore, ties := -1, 0.0, 0
 	for pass := 0; pass < 2 && best < 0; pass++ {
-		for i := range seen {
-			if seen[i].LastResort && pass == 0 {
+		for i := range views {
+			if views[i].LastResort && pass == 0 {
 				continue
 			}
-			score := seen[i].score(domain)
+			score := views[i].score(domain)
 			switch {
 			case best < 0 || score < bestScore:
 				best, bestScore, ties = i, score, 1
--- a/route/picker.go
+++ b/route/picker.go
@@ -12,7 +12,7 @@
 	// domain.
 	otherDomainMinSaving = 20 * time.Millisecond
 	// affinityLoadFactor bounds the load of the upstream preferred for a prefix, as a multiple of
-	// the mean load.
+	// the mean load; affinityLoadSlack is added to the bound, in units of slackUnit.
 	affinityLoadFactor = 1.25
 	affinityLoadSlack  = 2.0
 )
@@ -117,7 +117,7 @@
 	}
 	mean := sum / float64(len(candidates))
 	c := &candidates[best]
-	if c.load(r.LatencyTarget) > affinityLoadFactor*mean+affinityLoadSlack*meanCost(candidates) {
+	if c.load(r.LatencyTarget) > affinityLoadFactor*mean+affinityLoadSlack*slackUnit(candidates) {
 		return Choice{}, false
 	}
 	wait := c.Wait(r.LatencyTarget)
@@ -127,9 +127,9 @@
 	}, wait < r.LatencyTarget/2
 }
 
-// meanCost returns the cost that the first candidate serves within otherDomainMinSaving, at least
+// slackUnit returns the cost that the first candidate serves within otherDomainMinSaving, at least
 // 1. It keeps the affinity bound meaningful while almost nothing is in flight.
-func meanCost(candidates []Candidate) float64 {
+func slackUnit(candidates []Candidate) float64 {
 	return max(1, candidates[0].DrainRate*otherDomainMinSaving.Seconds())
 }
 
--- a/shift/guard.go
+++ b/shift/guard.go
@@ -22,8 +22,8 @@
 	Epoch   int64
 	// EngineStart is the start of the engine that the other fields apply to.
 	EngineStart int64
-	// Floor is the highest step that this rank was told to hold or release in this epoch; new holds
-	// lie above it.
+	// Floor is the highest step that this rank was ordered to hold or release in this epoch, or may
+	// have been before a restart; new holds lie above it.
 	Floor int64
 	// HoldStep is the step that the current switch holds on this rank, or None. Observed is false
 	// until the first state.
@@ -60,7 +60,7 @@
 	// VerdictMismatch means that the order does not fit the rank's state and the switch cannot
 	// continue here.
 	VerdictMismatch
-	// VerdictDone means that the rank is already in the state that the order asks for.
+	// VerdictDone means that the rank is already in the state that the order requests.
 	VerdictDone
 	// VerdictForward means that the order has to be sent to the engine.
 	VerdictForward
--- a/shift/guard_test.go
+++ b/shift/guard_test.go
@@ -38,9 +38,9 @@
 	var g Guard
 	g.Evaluate(Order{Fence: 1, Op: OpAsk}, s)
 	s.Step = 20
-	ans, first := g.Evaluate(Order{Fence: 1, Op: OpHold, Epoch: 1}, s)
-	if ans != VerdictForward {
-		t.Fatalf("hold not forwarded: verdict %d", ans)
+	verdict, first := g.Evaluate(Order{Fence: 1, Op: OpHold, Epoch: 1}, s)
+	if verdict != VerdictForward {
+		t.Fatalf("hold not forwarded: verdict %d", verdict)
 	}
 	s.EngineStart = 200
 	g.Observe(s)
@@ -49,13 +49,13 @@
 	if g.OrphanedHold(late) != first.Step {
 		t.Error("a late hold of the earlier engine start is not orphaned")
 	}
-	if ans, early := g.Evaluate(Order{Fence: 1, Op: OpHold, Epoch: 1}, s); ans == VerdictForward && early.Step <= s.Step+g.holdWindow() {
+	if verdict, early := g.Evaluate(Order{Fence: 1, Op: OpHold, Epoch: 1}, s); verdict == VerdictForward && early.Step <= s.Step+g.holdWindow() {
 		t.Errorf("step %d is held although a late order to the earlier engine start may name it", early.Step)
 	}
 	s.Step += g.holdWindow()
-	ans, second := g.Evaluate(Order{Fence: 1, Op: OpHold, Epoch: 1}, s)
-	if ans != VerdictForward || second.Step <= first.Step {
-		t.Errorf("verdict %d, step %d after step %d was held at the earlier engine start", ans, second.Step, first.Step)
+	verdict, second := g.Evaluate(Order{Fence: 1, Op: OpHold, Epoch: 1}, s)
+	if verdict != VerdictForward || second.Step <= first.Step {
+		t.Errorf("verdict %d, step %d after step %d was held at the earlier engine start", verdict, second.Step, first.Step)
 	}
 }
 
@@ -117,9 +117,9 @@
 			// The raised Floor after a restart has been passed.
 			g.Observe(State{Epoch: 1, Open: true, Prepared: None, Armed: None, Held: None})
 			g.Evaluate(Order{Fence: 1, Op: OpAsk}, s)
-			ans, send := g.Evaluate(l.Orders()[0], s)
-			if ans != VerdictForward || send.Op != OpHold || send.Step != s.Step+tt.want {
-				t.Errorf("verdict %d, %s of step %d, want a hold %d ahead of %d", ans, send.Op, send.Step, tt.want, s.Step)
+			verdict, send := g.Evaluate(l.Orders()[0], s)
+			if verdict != VerdictForward || send.Op != OpHold || send.Step != s.Step+tt.want {
+				t.Errorf("verdict %d, %s of step %d, want a hold %d ahead of %d", verdict, send.Op, send.Step, tt.want, s.Step)
 			}
 		})
 	}
--- a/shift/leader.go
+++ b/shift/leader.go
@@ -41,7 +41,7 @@
 	return false
 }
 
-// NewLeader returns a leader that queries all ranks before it does anything else.
+// NewLeader returns a leader of size ranks that first queries all of them.
 func NewLeader(fence int64, size int) *Leader {
 	return &Leader{
 		Fence: fence,
--- a/shift/margin_test.go
+++ b/shift/margin_test.go
@@ -65,15 +65,15 @@
 // seconds, and each step on the old map costs balance.
 func TestHoldsDoNotStallTheGroup(t *testing.T) {
 	const (
-		switches  = 4000
-		medianMay = 5 * time.Millisecond
-		calmMay   = 20 * time.Millisecond
-		waitSteps = 2
+		switches       = 4000
+		maxMedianStall = 5 * time.Millisecond
+		maxUsualStall  = 20 * time.Millisecond
+		waitSteps      = 2
 	)
 	tests := []armingPattern{
-		{"ranks of a small group", 35 * time.Millisecond, 45 * time.Millisecond, 20, 60 * time.Millisecond, calmMay},
-		{"64 ranks over a small link", 70 * time.Millisecond, 90 * time.Millisecond, 20, 80 * time.Millisecond, calmMay},
-		{"short steps", 60 * time.Millisecond, 80 * time.Millisecond, 20, 30 * time.Millisecond, calmMay},
+		{"ranks of a small group", 35 * time.Millisecond, 45 * time.Millisecond, 20, 60 * time.Millisecond, maxUsualStall},
+		{"64 ranks over a small link", 70 * time.Millisecond, 90 * time.Millisecond, 20, 80 * time.Millisecond, maxUsualStall},
+		{"short steps", 60 * time.Millisecond, 80 * time.Millisecond, 20, 30 * time.Millisecond, maxUsualStall},
 		// The margin does not cover rare delays every time, so a hold may last as long as late
 		// orders exceed a step.
 		{"one switch in twenty late", 50 * time.Millisecond, 200 * time.Millisecond, 20, 80 * time.Millisecond, 120 * time.Millisecond},
@@ -82,8 +82,8 @@
 		t.Run(tt.name, func(t *testing.T) {
 			stalls, waits := tt.simulate(switches, 0)
 			near, _ := tt.simulate(switches, MinAhead)
-			if got := quantile(stalls, 0.5); got > medianMay {
-				t.Errorf("median stall of the group is %v, want at most %v", got, medianMay)
+			if got := quantile(stalls, 0.5); got > maxMedianStall {
+				t.Errorf("median stall of the group is %v, want at most %v", got, maxMedianStall)
 			}
 			if got := quantile(stalls, 0.99); got > tt.maxStall {
 				t.Errorf("99th percentile stall of the group is %v, want at most %v", got, tt.maxStall)
@@ -135,22 +135,22 @@
 	m := &Margin{}
 	m.ObserveSwitch(now, 100*time.Millisecond)
 	step := int64(0)
-	play := func(steps int) {
+	run := func(steps int) {
 		for range steps {
 			now = now.Add(80 * time.Millisecond)
 			step++
 			m.ObserveStep(now, step)
 		}
 	}
-	play(50)
+	run(50)
 	want := m.Ahead(now)
 	for range 100 {
 		now = now.Add(100 * time.Millisecond)
 		m.ObserveStep(now, step)
 	}
-	play(50)
+	run(50)
 	step = 0
-	play(50)
+	run(50)
 	if got := m.Ahead(now); got != want {
 		t.Errorf("%d steps ahead after an idle time and a new epoch, want %d as before", got, want)
 	}
@@ -179,7 +179,7 @@
 			now := time.Unix(0, 0)
 			m := &Margin{}
 			begun := int64(0)
-			play := func(took, lasts time.Duration) {
+			run := func(took, lasts time.Duration) {
 				for end := now.Add(lasts); now.Before(end); {
 					for next := now.Add(tt.every); now.Before(next); now = now.Add(step) {
 						begun++
@@ -188,11 +188,11 @@
 					m.ObserveSwitch(now, took)
 				}
 			}
-			play(lossy, 10*time.Second)
+			run(lossy, 10*time.Second)
 			if got := m.Ahead(now); got < 4 {
 				t.Errorf("%d steps ahead while orders are lost, want at least 4", got)
 			}
-			play(usual, expect)
+			run(usual, expect)
 			if got := m.Ahead(now.Add(step)); got != 2 {
 				t.Errorf("%d steps ahead %v after orders were lost, want 2", got, expect)
 			}
--- a/shift/state.go
+++ b/shift/state.go
@@ -1,6 +1,6 @@
 package shift
 
-// None stands for no step and no version.
+// None means no step or no version.
 const None = -1
 
 // State is the state that a rank reports.
