--- a/chaos/run.go
+++ b/chaos/run.go
@@ -84,7 +84,7 @@
 	for range opt.Events {
 		r.injectFault()
 	}
-	r.logEvent("wait for recovery")
+	r.logEvent("heal")
 	recoveryStart := time.Now()
 	r.waitHealthy()
 	close(r.stop)
--- a/entry/callers.go
+++ b/entry/callers.go
@@ -140,7 +140,7 @@
 	return d, err
 }
 
-// respond serves an admitted request and sends the answer streamed or whole.
+// respond serves an admitted request and sends its answer, either streamed or buffered.
 func (e *Entry) respond(c fiber.Ctx, r *request) error {
 	r.class = e.config.Document().Classify(r.service, r.account, c.Get(headerWorkClass))
 	r.headers = proto.Headers(c.Request().Header.All(), hopHeaders)
--- a/entry/claims.go
+++ b/entry/claims.go
@@ -81,7 +81,8 @@
 	return l, nil
 }
 
-// dropLease makes the next claim use a new lease after the current one was rejected.
+// dropLease makes the next claim use a new lease. It is called after any write of a claim that
+// definitely failed, because the cause may be a rejected lease.
 func (c *claims) dropLease() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/entry/mates.go
+++ b/entry/mates.go
@@ -37,17 +37,17 @@
 	}
 }
 
-func (m *gossiper) run(ctx context.Context) {
-	t := m.e.clock.NewTicker(gossipInterval)
+func (g *gossiper) run(ctx context.Context) {
+	t := g.e.clock.NewTicker(gossipInterval)
 	defer t.Stop()
 	for {
-		for _, address := range m.targets() {
-			m.connect(ctx, address)
+		for _, address := range g.targets() {
+			g.connect(ctx, address)
 		}
-		m.sendHeartbeats()
+		g.sendHeartbeats()
 		select {
 		case <-ctx.Done():
-			m.close()
+			g.close()
 			return
 		case <-t.Chan():
 		}
@@ -56,112 +56,112 @@
 
 // targets returns the addresses to link to: the next entries in ID order, and the seeds while the
 // entry has no configuration or knows no other entry.
-func (m *gossiper) targets() []string {
-	rows := m.e.peers.entries()
+func (g *gossiper) targets() []string {
+	rows := g.e.peers.entries()
 	sort.Slice(rows, func(i, j int) bool { return rows[i].ID < rows[j].ID })
-	self := sort.Search(len(rows), func(i int) bool { return rows[i].ID >= m.e.cfg.ID })
+	self := sort.Search(len(rows), func(i int) bool { return rows[i].ID >= g.e.cfg.ID })
 	var out []string
 	for i := 1; i <= gossipFanout && i < len(rows); i++ {
 		out = append(out, rows[(self+i)%len(rows)].Address)
 	}
-	if m.e.config.Document().Revision == 0 || len(out) == 0 {
-		out = append(out, m.e.cfg.Seeds...)
+	if g.e.config.Document().Revision == 0 || len(out) == 0 {
+		out = append(out, g.e.cfg.Seeds...)
 	}
-	return lo.Uniq(lo.Without(out, m.e.cfg.Control))
+	return lo.Uniq(lo.Without(out, g.e.cfg.Control))
 }
 
-func (m *gossiper) connect(ctx context.Context, address string) {
-	m.mu.Lock()
-	_, ok := m.links[address]
+func (g *gossiper) connect(ctx context.Context, address string) {
+	g.mu.Lock()
+	_, ok := g.links[address]
 	if !ok {
-		m.links[address] = nil
+		g.links[address] = nil
 	}
-	m.mu.Unlock()
+	g.mu.Unlock()
 	if ok {
 		return
 	}
-	m.e.background.Go(func() {
-		self := m.e.self
+	g.e.background.Go(func() {
+		self := g.e.self
 		self.Role = wire.RoleExchange
-		l, err := wire.Dial(address, self, []byte(m.e.cfg.LinkKey))
+		l, err := wire.Dial(address, self, []byte(g.e.cfg.LinkKey))
 		if err == nil {
-			m.setLink(address, l)
+			g.setLink(address, l)
 			stop := context.AfterFunc(ctx, l.Close)
-			_ = l.Send(&proto.Frame{Heartbeat: m.heartbeat()})
-			_ = l.Receive(func(f *proto.Frame) { m.receive(l, f) })
+			_ = l.Send(&proto.Frame{Heartbeat: g.heartbeat()})
+			_ = l.Receive(func(f *proto.Frame) { g.receive(l, f) })
 			stop()
 		}
 		select {
 		case <-ctx.Done():
-		case <-m.e.clock.After(gossipRedialDelay):
+		case <-g.e.clock.After(gossipRedialDelay):
 		}
-		m.mu.Lock()
-		delete(m.links, address)
-		m.mu.Unlock()
+		g.mu.Lock()
+		delete(g.links, address)
+		g.mu.Unlock()
 	})
 }
 
-func (m *gossiper) setLink(address string, l *wire.Link) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.links[address] = l
+func (g *gossiper) setLink(address string, l *wire.Link) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.links[address] = l
 }
 
-func (m *gossiper) sendHeartbeats() {
-	m.mu.Lock()
-	links := lo.Values(m.links)
-	m.mu.Unlock()
+func (g *gossiper) sendHeartbeats() {
+	g.mu.Lock()
+	links := lo.Values(g.links)
+	g.mu.Unlock()
 	for _, l := range links {
 		if l != nil {
-			_ = l.Send(&proto.Frame{Heartbeat: m.heartbeat()})
+			_ = l.Send(&proto.Frame{Heartbeat: g.heartbeat()})
 		}
 	}
 }
 
-func (m *gossiper) heartbeat() *proto.Heartbeat {
-	return &proto.Heartbeat{Revision: m.e.config.Document().Revision}
+func (g *gossiper) heartbeat() *proto.Heartbeat {
+	return &proto.Heartbeat{Revision: g.e.config.Document().Revision}
 }
 
 // accept serves a link dialled by another entry.
-func (m *gossiper) accept(l *wire.Link) {
-	_ = l.Receive(func(f *proto.Frame) { m.receive(l, f) })
+func (g *gossiper) accept(l *wire.Link) {
+	_ = l.Receive(func(f *proto.Frame) { g.receive(l, f) })
 }
 
-func (m *gossiper) receive(l *wire.Link, f *proto.Frame) {
+func (g *gossiper) receive(l *wire.Link, f *proto.Frame) {
 	switch {
 	case f.Heartbeat != nil:
-		m.requestIfBehind(l, f.Heartbeat.Revision)
-		_ = l.Send(&proto.Frame{Report: &proto.Report{Revision: m.e.config.Document().Revision}})
+		g.requestIfBehind(l, f.Heartbeat.Revision)
+		_ = l.Send(&proto.Frame{Report: &proto.Report{Revision: g.e.config.Document().Revision}})
 	case f.Report != nil:
-		m.requestIfBehind(l, f.Report.Revision)
+		g.requestIfBehind(l, f.Report.Revision)
 	case f.ConfigRequest != nil:
-		config.SendUpdate(m.e.config, l, f.ConfigRequest)
+		config.SendUpdate(g.e.config, l, f.ConfigRequest)
 	case f.Config != nil:
-		if err := config.ApplyUpdate(m.e.config, f.Config); err != nil {
-			m.e.log.Warn("failed to apply configuration", "peer", l.Peer.ID, "error", err)
+		if err := config.ApplyUpdate(g.e.config, f.Config); err != nil {
+			g.e.log.Warn("failed to apply configuration", "peer", l.Peer.ID, "error", err)
 		}
 	}
 }
 
-func (m *gossiper) requestIfBehind(l *wire.Link, revision uint64) {
-	m.mu.Lock()
-	m.heldRevisions[l.Peer.ID] = revision
-	m.mu.Unlock()
-	if have := m.e.config.Document().Revision; revision > have {
+func (g *gossiper) requestIfBehind(l *wire.Link, revision uint64) {
+	g.mu.Lock()
+	g.heldRevisions[l.Peer.ID] = revision
+	g.mu.Unlock()
+	if have := g.e.config.Document().Revision; revision > have {
 		_ = l.Send(&proto.Frame{ConfigRequest: &proto.ConfigRequest{SinceRevision: have}})
 	}
 }
 
-func (m *gossiper) revisions() map[string]uint64 {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return lo.Assign(m.heldRevisions)
+func (g *gossiper) revisions() map[string]uint64 {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	return lo.Assign(g.heldRevisions)
 }
 
-func (m *gossiper) close() {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	for _, l := range m.links {
+func (g *gossiper) close() {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	for _, l := range g.links {
 		if l != nil {
 			l.Close()
 		}
--- a/entry/peer.go
+++ b/entry/peer.go
@@ -90,8 +90,8 @@
 	return p.attempts[n]
 }
 
-// dispatch opens an attempt and sends it to the agent; it returns nil if the agent is not linked or
-// is leaving.
+// dispatch opens an attempt and sends it to the agent. It returns nil if the agent is not linked, or
+// if it is leaving and the request is not keyed.
 func (p *peer) dispatch(d *proto.Dispatch) *attempt {
 	p.mu.Lock()
 	// A leaving agent accepts only keyed requests, since it may hold the answer of an earlier
--- a/entry/peers.go
+++ b/entry/peers.go
@@ -89,8 +89,9 @@
 	return in.Kind != core.KindEntry
 }
 
-// update links to newly listed instances. It drops an unlisted instance only once its link is down
-// and no attempt is open, because a live link outranks the list.
+// update links to newly listed instances of this entry's subset. It drops an instance that is no
+// longer among them only once its link is down and no attempt is open, because a live link outranks
+// the list.
 func (ps *peers) update(rows []core.Instance) {
 	upstreams := lo.Filter(rows, isUpstream)
 	chosen := route.Subset(ps.e.cfg.ID, ps.e.cfg.Domain, upstreams, ps.e.cfg.MaxLinks)
--- a/oper/ends.go
+++ b/oper/ends.go
@@ -60,7 +60,7 @@
 func (c *Command) listEnds(st *platform.Store) error {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	known, err := st.Ends(ctx)
+	known, err := st.Terminations(ctx)
 	if err != nil {
 		return err
 	}
@@ -86,7 +86,7 @@
 func (c *Command) clearRequest(st *platform.Store, d crash.Digest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	known, err := st.Ends(ctx)
+	known, err := st.Terminations(ctx)
 	if err != nil {
 		return err
 	}
@@ -99,7 +99,7 @@
 		fmt.Fprintf(c.Out, "would clear request %s of %d ends\n", d, len(statements))
 		return nil
 	}
-	own, err := st.Get(ctx, platform.EndsKey(name))
+	own, err := st.Get(ctx, platform.TerminationsKey(name))
 	if err != nil {
 		return err
 	}
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := st.Swap(ctx, platform.EndsKey(name), data, own.Modified, lease); err != nil {
+	if _, err := st.Swap(ctx, platform.TerminationsKey(name), data, own.Modified, lease); err != nil {
 		return err
 	}
 	fmt.Fprintf(c.Out, "request %s cleared of %d ends\n", d, len(statements))
--- a/oper/ends_test.go
+++ b/oper/ends_test.go
@@ -42,10 +42,10 @@
 	go (&crash.Publisher{
 		Registry: entry,
 		Store:    platform.NewStore(address),
-		Key:      platform.EndsKey("front-1"),
+		Key:      platform.TerminationsKey("front-1"),
 		Log:      log,
 	}).Run(ctx)
-	for deadline := time.Now().Add(10 * time.Second); len(st.Lookup(platform.EndsKey("front-1"))) == 0; {
+	for deadline := time.Now().Add(10 * time.Second); len(st.Lookup(platform.TerminationsKey("front-1"))) == 0; {
 		if time.Now().After(deadline) {
 			t.Fatal("the terminations were not published to the store")
 		}
@@ -62,7 +62,7 @@
 	}
 	later := crash.New(clock, log)
 	source := platform.NewSource(platform.NewStore(address), log)
-	source.MergeEndsInto(later)
+	source.SetTerminationSink(later)
 	if _, err := source.Load(ctx); err != nil {
 		t.Fatal(err)
 	}
--- a/peer/asker.go
+++ b/peer/asker.go
@@ -44,7 +44,7 @@
 	Seeds        []string
 	View         *view.Cache
 	Terminations TerminationSink
-	// Quotas receives the limits stated by instances.
+	// Quotas receives the limits advertised by instances.
 	Quotas LimitSink
 	// Leaving receives the starts of leaving instances.
 	Leaving LeavingSink
@@ -56,7 +56,7 @@
 	Merge(terminations []crash.Termination)
 }
 
-// LimitSink receives the limits stated by instances, as known to a peer.
+// LimitSink receives the limits advertised by instances, as known to a peer.
 type LimitSink interface {
 	Merge(notices []quota.Notice)
 }
--- a/peer/ends_test.go
+++ b/peer/ends_test.go
@@ -23,21 +23,21 @@
 
 // node is the state of one entry and the server that answers its peers.
 type node struct {
-	view    *view.Cache
-	ends    *crash.Registry
-	quotas  *quota.Registry
-	leaving *leave.Registry
-	address string
+	view         *view.Cache
+	terminations *crash.Registry
+	quotas       *quota.Registry
+	leaving      *leave.Registry
+	address      string
 }
 
 func newNode(t *testing.T, name string) *node {
 	t.Helper()
 	clock, log := clockwork.NewRealClock(), hclog.NewNullLogger()
 	n := &node{
-		view:    view.NewCache(name, clock, log),
-		ends:    crash.New(clock, log),
-		quotas:  quota.New(name, clock, log),
-		leaving: leave.New(clock, log),
+		view:         view.NewCache(name, clock, log),
+		terminations: crash.New(clock, log),
+		quotas:       quota.New(name, clock, log),
+		leaving:      leave.New(clock, log),
 	}
 	ln, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
@@ -46,7 +46,7 @@
 	n.address = ln.Addr().String()
 	server := &Server{
 		View:         n.view,
-		Terminations: n.ends,
+		Terminations: n.terminations,
 		Quotas:       n.quotas,
 		Leaving:      n.leaving,
 	}
@@ -72,14 +72,14 @@
 		Key:          []byte(testKey),
 		Seeds:        []string{other.address},
 		View:         n.view,
-		Terminations: n.ends,
+		Terminations: n.terminations,
 		Quotas:       n.quotas,
 		Leaving:      n.leaving,
 		Log:          hclog.NewNullLogger(),
 	}).Run(ctx)
 }
 
-func await(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for !ok() {
@@ -97,16 +97,16 @@
 	a, b, c := newNode(t, "a"), newNode(t, "b"), newNode(t, "c")
 	b.polls(t, "b", a)
 	c.polls(t, "c", b)
-	a.ends.RecordTermination(d, "acme", core.Start{ID: "i-1"}, true)
-	await(t, "the first termination to reach c", func() bool {
-		known, _ := c.ends.Since(0)
+	a.terminations.RecordTermination(d, "acme", core.Start{ID: "i-1"}, true)
+	waitFor(t, "the first termination to reach c", func() bool {
+		known, _ := c.terminations.Since(0)
 		return len(known) == 1
 	})
-	b.ends.RecordTermination(d, "acme", core.Start{ID: "i-2"}, true)
-	b.ends.RecordTermination(d, "acme", core.Start{ID: "i-3"}, true)
-	await(t, "c to refuse", func() bool { return c.ends.Refuses(d) })
-	a.ends.RecordCompletion(d)
-	await(t, "c to learn that one termination was cleared", func() bool { return !c.ends.Refuses(d) })
+	b.terminations.RecordTermination(d, "acme", core.Start{ID: "i-2"}, true)
+	b.terminations.RecordTermination(d, "acme", core.Start{ID: "i-3"}, true)
+	waitFor(t, "c to refuse", func() bool { return c.terminations.Refuses(d) })
+	a.terminations.RecordCompletion(d)
+	waitFor(t, "c to learn that one termination was cleared", func() bool { return !c.terminations.Refuses(d) })
 }
 
 // TestUpdateOmitsKnownLists guards against sending the long instance list along with a termination
--- a/peer/leaving_test.go
+++ b/peer/leaving_test.go
@@ -14,5 +14,5 @@
 	b.polls(t, "b", a)
 	c.polls(t, "c", b)
 	a.leaving.Record(start, "a-1")
-	await(t, "c to learn that the instance is leaving", func() bool { return c.leaving.IsLeaving(start) })
+	waitFor(t, "c to learn that the instance is leaving", func() bool { return c.leaving.IsLeaving(start) })
 }
--- a/peer/limits_test.go
+++ b/peer/limits_test.go
@@ -28,8 +28,8 @@
 			return len(known) == 1 && known[0].Instance == start.ID && known[0].StartedAt == start.StartedAt && known[0].Ended == ended
 		}
 	}
-	await(t, "the limit to reach c", heard(false))
+	waitFor(t, "the limit to reach c", heard(false))
 	<-time.After(time.Second)
 	a.quotas.Observe(start, quota.Limit{}, time.Now())
-	await(t, "its end to reach c", heard(true))
+	waitFor(t, "its end to reach c", heard(true))
 }
--- a/peer/server.go
+++ b/peer/server.go
@@ -20,7 +20,7 @@
 type Server struct {
 	View         *view.Cache
 	Terminations *crash.Registry
-	// Quotas holds the limits stated by instances.
+	// Quotas holds the limits advertised by instances.
 	Quotas *quota.Registry
 	// Leaving holds the instances that have announced that they are leaving.
 	Leaving *leave.Registry
--- a/start/gateway.go
+++ b/start/gateway.go
@@ -108,7 +108,7 @@
 	leaving := leave.New(clock, log.Named("leave"))
 	quotas := quota.New(cfg.ID, clock, log.Named("quota"))
 	source := platform.NewSource(st, log.Named("store"))
-	source.MergeEndsInto(crashes)
+	source.SetTerminationSink(crashes)
 	g := &gateway{
 		cfg:     cfg,
 		log:     log,
@@ -121,7 +121,7 @@
 		publisher: &crash.Publisher{
 			Registry: crashes,
 			Store:    st,
-			Key:      platform.EndsKey(cfg.ID),
+			Key:      platform.TerminationsKey(cfg.ID),
 			Log:      log.Named("crash"),
 		},
 		gate: gate.New(gate.Options{
--- a/view/snapshot.go
+++ b/view/snapshot.go
@@ -63,8 +63,8 @@
 
 // Successor returns the instance that started later at the address of in, which proves that in has
 // terminated, even if its entry still exists or in is kept after its entry disappeared. Terminated
-// instances look idle and would attract new requests: after a failure of all machines, most
-// requests of two seconds were sent to them and refused.
+// instances look idle and would attract new requests: after a failure of all machines, most of the
+// requests sent in the following 2 s went to them and were refused.
 func (s *Snapshot) Successor(in core.Instance) (core.Instance, bool) {
 	next, ok := s.newestByAddress[in.Address]
 	return next, ok && next.Rev > in.Rev
--- a/view/view_test.go
+++ b/view/view_test.go
@@ -95,7 +95,7 @@
 	if len(v.Now().Usable("s")) != 1 {
 		t.Fatal("dropped at once instead of being kept as lapsed")
 	}
-	await(t, "the lapsed instance to expire", func() bool { return len(v.Now().Usable("s")) == 0 })
+	waitFor(t, "the lapsed instance to expire", func() bool { return len(v.Now().Usable("s")) == 0 })
 }
 
 // silentSource is a store whose watches hang until they are canceled.
@@ -132,7 +132,7 @@
 	return append([]time.Duration(nil), s.waits...)
 }
 
-func await(t *testing.T, what string, ok func() bool) {
+func waitFor(t *testing.T, what string, ok func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(10 * time.Second)
 	for !ok() {
@@ -223,11 +223,11 @@
 	v := newCache(clockwork.NewRealClock())
 	src := &silentSource{}
 	go v.Run(ctx, src)
-	await(t, "the first watch", func() bool { return len(src.watches()) == 1 })
+	waitFor(t, "the first watch", func() bool { return len(src.watches()) == 1 })
 	if !v.Adopt(&Snapshot{Rev: 99, Table: table(7)}) {
 		t.Fatal("a peer's newer snapshot was not adopted")
 	}
-	await(t, "a new watch", func() bool { return len(src.watches()) == 2 })
+	waitFor(t, "a new watch", func() bool { return len(src.watches()) == 2 })
 	if v.Now().Rev != 99 || v.Now().Table.Version != 7 {
 		t.Errorf("at revision %d, table %d", v.Now().Rev, v.Now().Table.Version)
 	}
@@ -239,7 +239,7 @@
 	v := newCache(clockwork.NewRealClock())
 	src := &silentSource{fail: &store.CompactedError{After: 10}}
 	go v.Run(ctx, src)
-	await(t, "the second full read", func() bool { return v.Now().Table != nil && v.Now().Table.Version == 2 })
+	waitFor(t, "the second full read", func() bool { return v.Now().Table != nil && v.Now().Table.Version == 2 })
 	if errors.Is(ctx.Err(), context.Canceled) {
 		t.Fatal("context canceled early")
 	}
