--- a/core/instance.go
+++ b/core/instance.go
@@ -29,14 +29,14 @@
 	Rev int64 `json:"rev,omitempty"`
 }
 
-// Start identifies one process start of an instance; a process restarted under the same ID has no
-// memory of earlier ones.
+// Start identifies one incarnation of an instance, that is, one start of its process. A later
+// incarnation under the same ID has no memory of earlier ones.
 type Start struct {
 	ID        string `json:"id"`
 	StartedAt int64  `json:"born,omitempty"`
 }
 
-// Start returns the process start that this row describes.
+// Start identifies the incarnation that this row describes.
 func (in Instance) Start() Start {
 	return Start{
 		ID:        in.ID,
--- a/fleet/book.go
+++ b/fleet/book.go
@@ -15,8 +15,8 @@
 // must stop receiving work within 2 s, of which this leaves 0.5 s.
 const MassLossGrace = 1500 * time.Millisecond
 
-// maxStarts bounds the number of remembered instance starts, about 100 times the number that a
-// fleet replaces while late reports of them may arrive.
+// maxStarts bounds the number of remembered start times. It is about 100 times the number of
+// incarnations that a fleet replaces while late reports of them may arrive.
 const maxStarts = 1 << 14
 
 // Registry is the list of instances known to a process; it is not safe for concurrent use.
@@ -26,7 +26,7 @@
 	// which is zero while the outage lasts.
 	lapsed map[string]time.Time
 	// startedAt is the latest known start time of each instance in Unix milliseconds. It is kept
-	// longer than the entry, so that a late report of an earlier start doesn't bring that back.
+	// longer than the entry, so that a late report doesn't bring back an earlier incarnation.
 	startedAt map[string]int64
 	storeDown bool
 	// graceUntil is the time from which disappeared entries are removed at once again.
@@ -78,7 +78,7 @@
 }
 
 // Put adds or updates an instance and returns false, without effect, if the entry is of an earlier
-// start than the latest known one.
+// incarnation than the latest known one.
 func (r *Registry) Put(in core.Instance) bool {
 	if !r.acceptStart(in) {
 		return false
@@ -88,8 +88,8 @@
 	return true
 }
 
-// acceptStart reports whether an entry isn't of an earlier start than the latest known one, and
-// records its start.
+// acceptStart reports whether an entry isn't of an earlier incarnation than the latest known one,
+// and if so records its start time.
 func (r *Registry) acceptStart(in core.Instance) bool {
 	if in.StartedAt < r.startedAt[in.ID] {
 		return false
--- a/fleet/book_test.go
+++ b/fleet/book_test.go
@@ -148,8 +148,8 @@
 	}
 }
 
-// TestPutIgnoresEarlierStarts checks that reports of two starts of one instance may arrive in any
-// order and by any path.
+// TestPutIgnoresEarlierStarts checks that reports of two incarnations of one instance may arrive in
+// any order and by any path.
 func TestPutIgnoresEarlierStarts(t *testing.T) {
 	start := time.Unix(1000, 0)
 	earlier := core.Instance{ID: "i", Address: "a", StartedAt: 100}
@@ -181,8 +181,8 @@
 	}
 }
 
-// TestStartsArePruned guards against unbounded growth of the remembered starts when more instances
-// come and go than maxStarts.
+// TestStartsArePruned guards against unbounded growth of the remembered start times when more
+// instances come and go than maxStarts.
 func TestStartsArePruned(t *testing.T) {
 	r := New()
 	r.Put(core.Instance{ID: "stays", StartedAt: 5})
@@ -192,9 +192,9 @@
 		r.Delete(id)
 	}
 	if n := len(r.startedAt); n > maxStarts+1 {
-		t.Errorf("%d starts remembered, want at most %d", n, maxStarts+1)
+		t.Errorf("%d start times remembered, want at most %d", n, maxStarts+1)
 	}
 	if r.Put(core.Instance{ID: "stays", StartedAt: 4}) {
-		t.Error("the start of a listed instance was pruned")
+		t.Error("the start time of a listed instance was pruned")
 	}
 }
--- a/gate/answering.go
+++ b/gate/answering.go
@@ -36,7 +36,7 @@
 func (a *attempt) recordReply(sent time.Time) {
 	g := a.r.g
 	if a.reply.Invalid != nil && g.loads.recordInvalid(a.instance.Start(), a.reply.Invalid) {
-		g.log.Warn("statement of an instance can't be understood", "instance", a.instance.ID, "born", a.instance.StartedAt, "error", a.reply.Invalid)
+		g.log.Warn("instance sent invalid answer headers", "instance", a.instance.ID, "born", a.instance.StartedAt, "error", a.reply.Invalid)
 	}
 	if a.reply.Leaving {
 		g.leavingInstances.Record(a.instance.Start(), a.r.call.ID)
@@ -44,7 +44,7 @@
 	if a.reply.Cooldown > 0 {
 		now := g.clock.Now()
 		g.cooldowns.record(a.instance.Start(), now, now.Add(a.reply.Cooldown))
-		g.log.Info("instance asks for rest", "instance", a.instance.ID, "born", a.instance.StartedAt, "id", a.r.call.ID, "ms", a.reply.Cooldown.Milliseconds())
+		g.log.Info("instance requested a cooldown", "instance", a.instance.ID, "born", a.instance.StartedAt, "id", a.r.call.ID, "ms", a.reply.Cooldown.Milliseconds())
 	}
 	if !a.reply.LimitInvalid {
 		g.quotas.Observe(a.instance.Start(), a.reply.Limit, sent)
--- a/gate/attempt.go
+++ b/gate/attempt.go
@@ -193,7 +193,7 @@
 // recordLoss records that an instance lost a request.
 func (g *Gate) recordLoss(in core.Instance, now time.Time) {
 	if g.loads.recordLoss(in.Start(), now) {
-		g.log.Warn("instance loses its requests", "instance", in.ID, "born", in.StartedAt, "service", in.Service)
+		g.log.Warn("instance is failing, consecutive requests got no answer", "instance", in.ID, "born", in.StartedAt, "service", in.Service)
 	}
 }
 
@@ -201,7 +201,7 @@
 // before it lost other requests.
 func (g *Gate) recordAnswer(in core.Instance) {
 	if g.loads.recordAnswer(in.Start()) {
-		g.log.Info("instance answers again", "instance", in.ID, "born", in.StartedAt, "service", in.Service)
+		g.log.Info("instance answers again, no longer failing", "instance", in.ID, "born", in.StartedAt, "service", in.Service)
 	}
 }
 
--- a/gate/call.go
+++ b/gate/call.go
@@ -6,7 +6,7 @@
 type Call struct {
 	// ID identifies this attempt of the caller.
 	ID string
-	// Budget is how long the caller waits for the answer, zero if unstated.
+	// Budget is how long the caller waits for the answer, zero if not given.
 	Budget time.Duration
 	Key    string
 	// LastEvent is the last stream event that the caller received, negative if none.
--- a/gate/failing_test.go
+++ b/gate/failing_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestFailingInstanceGetsNoRequests guards against load that spills over to an instance that lost
-// every request: its failure score decays within seconds, after which a fully loaded neighbour
+// every request: its failure score decays within seconds, after which a fully loaded neighbor
 // looks worse.
 func TestFailingInstanceGetsNoRequests(t *testing.T) {
 	const (
--- a/gate/lateness.go
+++ b/gate/lateness.go
@@ -28,7 +28,7 @@
 }
 
 // spent returns how much of its time a caller with the given budget has already used, zero if it
-// states no budget. Budgets are capped at the route's timeout, so that a caller with a larger one
+// gives no budget. Budgets are capped at the route's timeout, so that a caller with a larger one
 // doesn't make others look late.
 func (b *callerBudgets) spent(route *plan.Route, budget time.Duration, now time.Time) time.Duration {
 	if budget <= 0 {
--- a/gate/loads.go
+++ b/gate/loads.go
@@ -39,8 +39,8 @@
 
 type instanceLoad struct {
 	inFlight int
-	// reported is the last load stated by the instance, including inFlightAtReport requests of this
-	// entry.
+	// reported is the last load reported by the instance, including inFlightAtReport requests of
+	// this entry.
 	reported         float64
 	inFlightAtReport int
 	reportedAt       time.Time
@@ -53,7 +53,7 @@
 	lastLossAt        time.Time
 	// addressReused is set once another instance has answered at this address.
 	addressReused bool
-	// lastInvalid is the last invalid statement of the instance, empty if none.
+	// lastInvalid is the error of the last answer with invalid headers, empty if none.
 	lastInvalid string
 	// waiting holds the send times of requests without a first byte, oldest first.
 	waiting []time.Time
@@ -245,7 +245,8 @@
 	return ld.failures * math.Exp2(-now.Sub(ld.failedAt).Seconds()/failureHalfLife.Seconds())
 }
 
-// recordInvalid records an invalid statement and reports whether it differs from the last one.
+// recordInvalid records the error of an answer with invalid headers and reports whether it differs
+// from the last one.
 func (t *loadTracker) recordInvalid(start core.Start, err error) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/gate/request.go
+++ b/gate/request.go
@@ -79,8 +79,8 @@
 	body   []byte
 }
 
-// nextDeadline returns the deadline of what the caller waits for next: the first event of a stream,
-// or the end of the answer.
+// nextDeadline returns the deadline of the complete answer, or that of a stream's first event if the
+// stream has not begun and that deadline is earlier.
 func (r *request) nextDeadline() time.Time {
 	if r.stream.started || r.firstEventDeadline.IsZero() {
 		return r.deadline
--- a/gate/serve.go
+++ b/gate/serve.go
@@ -21,7 +21,7 @@
 	// firstEventMargin is subtracted from the time a caller waits for the first event of a stream,
 	// so that the final answer is sent before the caller disconnects. It covers several times the
 	// wake-up delay of a busy entry. A caller that disconnects first gets no answer, and its request
-	// can't be cancelled on a stalled server.
+	// can't be canceled on a stalled server.
 	firstEventMargin = 100 * time.Millisecond
 	// defaultBudget applies if neither the route nor the caller sets a time limit.
 	defaultBudget = 30 * time.Second
--- a/group/error.go
+++ b/group/error.go
@@ -3,13 +3,13 @@
 import "fmt"
 
 // StaleStartError means that a report comes from an earlier start of the engine than the newest one
-// known; both are in Unix milliseconds.
+// known. Known and Got are the start times in Unix milliseconds.
 type StaleStartError struct {
 	Known int64
 	Got   int64
 }
 
-// Error returns the message with both starts.
+// Error returns a message with both start times.
 func (e *StaleStartError) Error() string {
 	return fmt.Sprintf("stale report from the engine started at %d (Unix ms), engine restarted at %d", e.Got, e.Known)
 }
--- a/group/lead.go
+++ b/group/lead.go
@@ -19,11 +19,11 @@
 	heartbeatInterval = 150 * time.Millisecond
 	// tickInterval is how often a leader checks for due work, in addition to handling answers.
 	tickInterval = 25 * time.Millisecond
-	// dialInterval is how often unconnected ranks are dialled; listInterval is how often the
+	// dialInterval is how often unconnected ranks are dialed; listInterval is how often the
 	// instances are listed again while a rank is unconnected.
 	dialInterval = 250 * time.Millisecond
 	listInterval = 3 * time.Second
-	// foreignTTL is how long an address that belongs to another group is not dialled again; groups
+	// foreignTTL is how long an address that belongs to another group is not dialed again; groups
 	// re-form only after a crash.
 	foreignTTL = 5 * time.Second
 	// demandHalfLife is the half-life of counts while popularity is stable, which lasts two to
@@ -52,7 +52,7 @@
 )
 
 // event is a rank's state received over a link, or the end of the link if rank is nil; link is nil
-// as well if dialling failed.
+// as well if dialing failed.
 type event struct {
 	address string
 	link    *wire.Link
@@ -67,11 +67,11 @@
 	engine *plan.Engine
 
 	events chan event
-	// links holds the links by rank; dialled marks the addresses that are connected or being
-	// dialled.
-	links   []*wire.Link
-	dialled map[string]bool
-	rankOf  map[*wire.Link]int
+	// links holds the links by rank; dialed marks the addresses that are connected or being
+	// dialed.
+	links  []*wire.Link
+	dialed map[string]bool
+	rankOf map[*wire.Link]int
 	// foreignSince is when an address was found to belong to another group.
 	foreignSince map[string]time.Time
 	known        []bool
@@ -121,7 +121,7 @@
 
 	addresses   []string
 	listedAt    time.Time
-	dialledAt   time.Time
+	dialedAt    time.Time
 	heartbeatAt time.Time
 	plannedAt   time.Time
 }
@@ -138,7 +138,7 @@
 		leader:        shift.NewLeader(fence, rep.Size),
 		events:        make(chan event, eventQueueSize),
 		links:         make([]*wire.Link, rep.Size),
-		dialled:       make(map[string]bool),
+		dialed:        make(map[string]bool),
 		rankOf:        make(map[*wire.Link]int),
 		foreignSince:  make(map[string]time.Time),
 		known:         make([]bool, rep.Size),
--- a/group/links.go
+++ b/group/links.go
@@ -18,19 +18,19 @@
 			missing++
 		}
 	}
-	if missing == 0 || now.Sub(d.dialledAt) < dialInterval {
+	if missing == 0 || now.Sub(d.dialedAt) < dialInterval {
 		return
 	}
-	d.dialledAt = now
+	d.dialedAt = now
 	if now.Sub(d.listedAt) >= listInterval {
 		d.listedAt = now
 		d.listInstances(ctx)
 	}
 	for _, address := range d.addresses {
-		if d.dialled[address] || now.Sub(d.foreignSince[address]) < foreignTTL {
+		if d.dialed[address] || now.Sub(d.foreignSince[address]) < foreignTTL {
 			continue
 		}
-		d.dialled[address] = true
+		d.dialed[address] = true
 		go d.dial(ctx, address)
 	}
 }
@@ -103,7 +103,7 @@
 }
 
 func (d *leadership) handleLinkEnd(e event) {
-	delete(d.dialled, e.address)
+	delete(d.dialed, e.address)
 	r, ok := d.rankOf[e.link]
 	if !ok {
 		return
--- a/leave/registry.go
+++ b/leave/registry.go
@@ -52,7 +52,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.add(start) {
-		r.log.Info("instance says that it leaves", "instance", start.ID, "born", start.StartedAt, "id", id)
+		r.log.Info("instance announced that it is leaving", "instance", start.ID, "born", start.StartedAt, "id", id)
 	}
 }
 
--- a/place/joint.go
+++ b/place/joint.go
@@ -69,8 +69,8 @@
 	copies  int
 }
 
-// choice is the best change of a set and its saving. It is valid until the set, or what its ranks
-// may load, changes.
+// choice is the best change of a set and its saving. It is valid until the set changes or the
+// budget of a rank is used up.
 type choice struct {
 	change change
 	gain   float64
--- a/place/placement.go
+++ b/place/placement.go
@@ -69,8 +69,8 @@
 	return (slices.Max(loads) - slices.Min(loads)) * float64(p.Ranks) / sum
 }
 
-// Copies returns how many expert copies a rank must load to switch from p to next; a negative rank
-// means all ranks.
+// Copies returns how many expert copies a rank must load to switch from p to next. A rank of -1, or
+// any negative one, counts the copies of all ranks.
 func (p *Placement) Copies(next *Placement, rank int) int {
 	n := 0
 	for e, holders := range next.Experts {
--- a/quota/registry.go
+++ b/quota/registry.go
@@ -259,7 +259,7 @@
 		return
 	}
 	if limit != before {
-		g.log.Info("limit of an instance", "instance", start.ID, "born", start.StartedAt, "limited", limit.Advertised, "rate", limit.Rate, "before", before.Rate,
+		g.log.Info("advertised limit of instance changed", "instance", start.ID, "born", start.StartedAt, "limited", limit.Advertised, "rate", limit.Rate, "before", before.Rate,
 			"from", from)
 	}
 	g.seq++
--- a/quota/registry_test.go
+++ b/quota/registry_test.go
@@ -71,7 +71,7 @@
 	g.Observe(inst, one, clock.Now())
 	for n := range 3 {
 		if _, ok := g.Acquire(core.Start{ID: inst.ID, StartedAt: inst.StartedAt + 1}, Fleet{}); !ok {
-			t.Errorf("request %d to another start was throttled", n)
+			t.Errorf("request %d to another incarnation was throttled", n)
 		}
 	}
 }
--- a/view/follow.go
+++ b/view/follow.go
@@ -21,8 +21,8 @@
 	// baseWatchDelay is the pause between a change and the next watch, so that changes close
 	// together cost one call. Each member adds watchDelayPerMember, up to maxExtraWatchDelay, and
 	// entries stagger their pauses over the result: the first to watch again informs the others.
-	// The bound lets an entry that can't reach its peers still learn within 2 s what must be known
-	// by then.
+	// The bound lets even an entry that can't reach its peers learn in time of departures and other
+	// changes that must be known everywhere within 2 s.
 	baseWatchDelay      = 150 * time.Millisecond
 	watchDelayPerMember = 10 * time.Millisecond
 	maxExtraWatchDelay  = time.Second
--- a/view/keeper.go
+++ b/view/keeper.go
@@ -102,7 +102,7 @@
 	}
 	for _, in := range c.Put {
 		if !v.instances.Put(in) {
-			v.log.Info("ignoring entry of an earlier instance start", "instance", in.ID, "born", in.StartedAt, "revision", c.Rev)
+			v.log.Info("ignoring entry of an earlier incarnation of the instance", "instance", in.ID, "born", in.StartedAt, "revision", c.Rev)
 		}
 	}
 	for _, id := range c.Invalid {
