--- a/agent/leave.go
+++ b/agent/leave.go
@@ -37,8 +37,9 @@
 // leaves. It exceeds the heartbeat interval of a slow entry.
 const leavingAckTimeout = 3 * time.Second
 
-// awaitLeavingAcks waits until every linked entry has acknowledged that the agent leaves.
-// Dispatches sent before the acknowledgement have then arrived and are refused or run.
+// awaitLeavingAcks waits until every linked entry has acknowledged that the agent leaves, or until
+// leavingAckTimeout. Dispatches sent before an acknowledgement have then arrived and are refused or
+// run.
 func (a *Agent) awaitLeavingAcks() {
 	end := a.clock.Now().Add(leavingAckTimeout)
 	for a.clock.Now().Before(end) && a.sessions.awaitingLeavingAck() {
@@ -46,7 +47,8 @@
 	}
 }
 
-// drain leaves, waits for running attempts to finish, then for their answers to be acknowledged.
+// drain leaves, waits for running attempts to finish, then up to answerAckTimeout for their answers
+// to be acknowledged.
 func (a *Agent) drain() {
 	a.leave("stop")
 	a.awaitLeavingAcks()
--- a/agent/leave_test.go
+++ b/agent/leave_test.go
@@ -21,7 +21,7 @@
 	l.send(t, &proto.Frame{Drain: &proto.Drain{RequestedBy: "operator"}})
 	l.send(t, dispatch(a, 2, "key"))
 	if f := l.next(t); f.Answer == nil || f.Answer.N != 2 {
-		t.Errorf("got %+v for a repeat at a leaving agent, want the answer of the first run", f)
+		t.Errorf("got %+v for a retry at a leaving agent, want the answer of the first run", f)
 	}
 	l.next(t)
 	l.send(t, dispatch(a, 3, "new key"))
@@ -54,9 +54,9 @@
 	}
 }
 
-// TestStoppingAgentRefusesInFlightDispatch guards against losing a dispatch from an entry that does
-// not yet know the agent is leaving: the dispatch must be refused as not run instead of being lost
-// with the link.
+// TestStoppingAgentRefusesInFlightDispatch guards against losing a dispatch from an entry that has
+// not yet learned that the agent is leaving: the dispatch must be refused as not run instead of
+// being lost with the link.
 func TestStoppingAgentRefusesInFlightDispatch(t *testing.T) {
 	up := &fakeUpstream{runs: make(map[string]int), parts: 1}
 	a, stop := startAgent(t, up)
--- a/agent/rank.go
+++ b/agent/rank.go
@@ -40,8 +40,8 @@
 	return r
 }
 
-// handleOrder executes a leader's orders one at a time. It sends no reply when the engine could not
-// be reached.
+// handleOrder executes a leader's orders one at a time. It sends no reply before settledAt or when
+// the engine failed to execute the order.
 func (r *rank) handleOrder(l *wire.Link, o *proto.Order) {
 	if r.a.cfg.Upstream.Group == "" || r.a.clock.Now().Before(r.settledAt) {
 		return
--- a/agent/run.go
+++ b/agent/run.go
@@ -10,7 +10,8 @@
 )
 
 const (
-	// windowParts and windowBytes bound the unacknowledged parts and bytes of an answer.
+	// windowParts and windowBytes bound the unacknowledged parts and bytes of an answer without a
+	// claim.
 	windowParts = 128
 	windowBytes = 512 << 10
 	// orphanTimeout is how long an attempt continues without a link to any of its entries.
@@ -62,7 +63,7 @@
 func (r *run) append(p *proto.Answer, s *sessions, now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for !r.abandoned && r.full() {
+	for !r.abandoned && r.windowFull() {
 		r.windowCond.Wait()
 	}
 	if r.abandoned {
@@ -80,7 +81,7 @@
 	return true
 }
 
-func (r *run) full() bool {
+func (r *run) windowFull() bool {
 	if r.dispatch.ClaimKey != "" {
 		return false
 	}
--- a/agent/schedule.go
+++ b/agent/schedule.go
@@ -110,7 +110,8 @@
 }
 
 // abandonOrphans cancels attempts that their entry has closed and drops runs orphaned for longer than
-// orphanTimeout. Only idempotent requests are cancelled at the upstream.
+// orphanTimeout. Runs with a claim are kept, since a retry may still request their answer. Only
+// idempotent requests are cancelled at the upstream.
 func (a *Agent) abandonOrphans() {
 	now := a.clock.Now()
 	a.runs.each(func(r *run) {
--- a/agent/stall.go
+++ b/agent/stall.go
@@ -31,7 +31,7 @@
 func (r *run) markStalled(now time.Time) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if !r.dispatch.Stream || !r.dispatch.Idempotent || r.stalled || r.startedAt.IsZero() || r.abandoned || r.buffer.Ended() || r.full() {
+	if !r.dispatch.Stream || !r.dispatch.Idempotent || r.stalled || r.startedAt.IsZero() || r.abandoned || r.buffer.Ended() || r.windowFull() {
 		return false
 	}
 	since, timeout := r.startedAt, firstPartTimeout
--- a/agent/transit.go
+++ b/agent/transit.go
@@ -18,9 +18,9 @@
 	minOffsets map[*wire.Link]time.Duration
 }
 
-func newTransitTracker(begun time.Time) *transitTracker {
+func newTransitTracker(start time.Time) *transitTracker {
 	return &transitTracker{
-		start:      begun,
+		start:      start,
 		minOffsets: make(map[*wire.Link]time.Duration),
 	}
 }
--- a/agent/transit_test.go
+++ b/agent/transit_test.go
@@ -11,7 +11,7 @@
 
 // TestTransitDelayReducesRemainingTime guards against running work for callers that are gone: a
 // dispatch delayed in the link of a paused machine used to get its full remaining time, and ran
-// after its caller had been told that the outcome is unknown.
+// after its caller had received an unknown outcome.
 func TestTransitDelayReducesRemainingTime(t *testing.T) {
 	// The sender's clock has a different origin than the agent's.
 	const clockOffset = time.Hour
@@ -59,10 +59,10 @@
 // TestTransitDelayIsRelativeToFastestMessage guards against mistaking a link with constant latency
 // for one that delayed its messages.
 func TestTransitDelayIsRelativeToFastestMessage(t *testing.T) {
-	begun := time.Unix(1_000, 0)
-	tr := newTransitTracker(begun)
+	start := time.Unix(1_000, 0)
+	tr := newTransitTracker(start)
 	l := &wire.Link{}
-	at := func(d time.Duration) time.Time { return begun.Add(d) }
+	at := func(d time.Duration) time.Time { return start.Add(d) }
 	tests := []struct {
 		name     string
 		sent     time.Duration
--- a/agent/upstream.go
+++ b/agent/upstream.go
@@ -29,7 +29,7 @@
 	// Do sends a request to the upstream and calls part for each piece of the answer. It fails with
 	// an *UnsentError, a *LostError or the error of part.
 	Do(d *proto.Dispatch, deadline time.Time, part func(*proto.Answer) error) error
-	// Cancel asks the upstream to cancel a request.
+	// Cancel requests that the upstream cancel a request; failures are not reported.
 	Cancel(request string)
 	// Leaving reports whether the upstream is about to shut down.
 	Leaving() (bool, error)
@@ -161,7 +161,7 @@
 	}
 	defer func() { _ = resp.CloseBodyStream() }()
 	if resp.StatusCode() != fasthttp.StatusOK {
-		return nil, &LostError{Cause: errs.Errorf("status %d", resp.StatusCode())}
+		return nil, &LostError{Cause: errs.Errorf("unexpected HTTP status %d", resp.StatusCode())}
 	}
 	return append([]byte{}, resp.Body()...), nil
 }
--- a/agent/work.go
+++ b/agent/work.go
@@ -19,7 +19,7 @@
 		a.refuse(key, d.ClaimKey, core.OutcomeNotRun, core.ReasonLeaving, 0)
 		return
 	}
-	// The run is registered before the ledger records its claim, so that a repeat on another link
+	// The run is registered before the ledger records its claim, so that a retry on another link
 	// always finds it.
 	r := newRun(key, d, a.clock.Now())
 	fresh := a.runs.add(key, r)
@@ -40,7 +40,7 @@
 	case ledger.ActionAttach:
 		a.attach(key, v.Holder)
 	case ledger.ActionQueue:
-		// Claims are checked even while leaving: repeats of work that ran here get its answer, and
+		// Claims are checked even while leaving: retries of work that ran here get its answer, and
 		// only new work is refused.
 		if a.leaving.Load() && a.ledger.Cancel(key) {
 			a.runs.remove(key)
@@ -57,8 +57,8 @@
 }
 
 // deductTransit subtracts the time a dispatch was delayed in transit from its remaining time. The
-// entry counts from the send time, and once that time is over it tells its caller that the outcome
-// is unknown.
+// entry counts from the send time and reports an unknown outcome to its caller once that time is
+// over.
 func (a *Agent) deductTransit(l *wire.Link, d *proto.Dispatch) {
 	took := a.transits.delay(l, d.Sent, a.clock.Now())
 	d.Remaining -= took
@@ -119,7 +119,7 @@
 	for _, k := range keys {
 		outcome := core.OutcomeNotRun
 		if k != r.key {
-			// The outcome of an attached attempt depends on the claim, which a later repeat may
+			// The outcome of an attached attempt depends on the claim, which a later retry may
 			// still run.
 			outcome = core.OutcomeUnknown
 		}
@@ -162,7 +162,8 @@
 	if !last {
 		return
 	}
-	// A non-idempotent run continues, because a repeat with the same key must get its answer.
+	// A non-idempotent run continues, because a retry with the same idempotency key must get its
+	// answer.
 	if r.dispatch.Idempotent && !r.ended() {
 		r.abandon()
 		a.upstream.Cancel(r.dispatch.Request)
--- a/answer/assembler.go
+++ b/answer/assembler.go
@@ -54,7 +54,7 @@
 }
 
 func (a *Assembler) advance(p *proto.Answer) {
-	check.Assert(check.WholeAnswer, p.Seq == a.next && !a.complete, "delivered part %d, want part %d", p.Seq, a.next)
+	check.Assert(check.CompleteAnswer, p.Seq == a.next && !a.complete, "delivered part %d, want part %d", p.Seq, a.next)
 	a.next++
 	a.complete = p.Last
 }
--- a/answer/buffer.go
+++ b/answer/buffer.go
@@ -12,10 +12,10 @@
 	ended  bool
 }
 
-// NewBuffer returns an empty buffer; if keep is set it ignores acknowledgements, for answers that
-// may be requested again.
-func NewBuffer(keep bool) *Buffer {
-	return &Buffer{retain: keep}
+// NewBuffer returns an empty buffer; if retain is set it ignores acknowledgements, for answers
+// that may be requested again.
+func NewBuffer(retain bool) *Buffer {
+	return &Buffer{retain: retain}
 }
 
 // Append assigns the next sequence number to a part, stores it and returns it; it returns nil for a
--- a/answer/main_test.go
+++ b/answer/main_test.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// TestMain fixes the seed of the property tests unless one is given, to make runs reproducible.
+// TestMain fixes the seed of the randomized tests unless one is given, so that runs are
+// reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if flag.Lookup("rapid.seed").Value.String() == "0" {
--- a/config/config_test.go
+++ b/config/config_test.go
@@ -38,7 +38,7 @@
 	return docs
 }
 
-func TestHolderOnlyMovesForward(t *testing.T) {
+func TestHolderRevisionNeverDecreases(t *testing.T) {
 	check.SetFatal(true)
 	docs := documentChain(t, 400)
 	rapid.Check(t, func(t *rapid.T) {
--- a/config/exchange.go
+++ b/config/exchange.go
@@ -15,14 +15,14 @@
 
 // SendUpdate sends the peer the records after its revision, or the complete document if those
 // records have been trimmed. It sends nothing to a peer that is up to date.
-func SendUpdate(h *Holder, to Sender, ask *proto.ConfigRequest) {
+func SendUpdate(h *Holder, to Sender, req *proto.ConfigRequest) {
 	doc := h.Document()
-	if ask.SinceRevision >= doc.Revision {
+	if req.SinceRevision >= doc.Revision {
 		return
 	}
 	out := &proto.Config{Revision: doc.Revision}
 	var err error
-	if records, ok := doc.Since(ask.SinceRevision); ok {
+	if records, ok := doc.Since(req.SinceRevision); ok {
 		out.Records, err = json.Marshal(records)
 	} else {
 		out.Document, err = json.Marshal(doc)
--- a/config/main_test.go
+++ b/config/main_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// TestMain sets a fixed seed for the randomised tests unless one is given, so that runs are
+// TestMain fixes the seed of the randomized tests unless one is given, so that runs are
 // reproducible.
 func TestMain(m *testing.M) {
 	flag.Parse()
--- a/entry/serve.go
+++ b/entry/serve.go
@@ -228,7 +228,7 @@
 	if !p.Last {
 		return attemptResult{}, false
 	}
-	check.Assert(check.WholeAnswer, a.completeWith(p), "request %s completed at part %d with an incomplete answer", r.id, p.Seq)
+	check.Assert(check.CompleteAnswer, a.completeWith(p), "request %s completed at part %d with an incomplete answer", r.id, p.Seq)
 	a.peer.ack(a, p.Seq+1)
 	return attemptResult{outcome: attemptComplete}, true
 }
--- a/epmap/doc.go
+++ b/epmap/doc.go
@@ -3,7 +3,7 @@
 //
 // A Leader, which holds a lease, and a Guard beside each rank exchange orders and replies that may
 // be lost, delayed, repeated and reordered. A cap is a rank's promise to wait at step N; a grant
-// releases it with the new map. No rank starts step N before it knows the map for N, and no leader
+// releases it with the new map. No rank starts step N before its map for N is settled, and no leader
 // grants a map before every rank is capped at N. Leader and Guard are plain state machines without
 // clocks, goroutines or sockets.
 package epmap
--- a/epmap/engine_test.go
+++ b/epmap/engine_test.go
@@ -67,7 +67,8 @@
 	return false
 }
 
-// beginStep starts the next step and returns its map, or false while the rank is capped.
+// beginStep starts the next step and returns its map, or false while the rank is capped at that
+// step without a grant.
 func (e *modelEngine) beginStep() (uint64, bool) {
 	if e.capped && e.step >= e.capStep {
 		if !e.granted {
--- a/epmap/inquiry.go
+++ b/epmap/inquiry.go
@@ -18,7 +18,7 @@
 func (l *Leader) resolveInquiry() {
 	if l.inconsistent() {
 		// The replies reflect different moments, which happens when an agent restarted between them
-		// and lost its fence. Ask again.
+		// and lost its fence. Repeat the inquiry.
 		l.inconsistentInquiries++
 		check.Assert(check.OneMap, l.inconsistentInquiries < maxInconsistentInquiries, "ranks still inconsistent after %d inquiries: %+v", l.inconsistentInquiries, l.Ranks)
 		l.enterPhase(PhaseInquire)
@@ -76,7 +76,8 @@
 	return 0, 0, false
 }
 
-// finishUncap restarts the inquiry when a rank still holds a cap unknown to this leader.
+// finishUncap enters PhaseSteady, or restarts the inquiry when a rank still holds a cap that this
+// leader did not remove.
 func (l *Leader) finishUncap() {
 	l.Phase = PhaseSteady
 	for i := range l.Ranks {
--- a/epmap/phase.go
+++ b/epmap/phase.go
@@ -5,7 +5,7 @@
 
 // Phases of a leader.
 const (
-	// PhaseInquire asks every rank for its state. Nothing else happens before all have answered.
+	// PhaseInquire requests the state of every rank. Nothing else happens before all have answered.
 	PhaseInquire Phase = iota + 1
 	// PhaseConfirm repeats the inquiry before caps are removed. An agent that restarted between its
 	// answer and the last rank's has lost its fence, so an older leader may have continued there.
--- a/epmap/rankview.go
+++ b/epmap/rankview.go
@@ -2,7 +2,7 @@
 
 import "geraniumpass/proto"
 
-// RankView is a leader's view of one rank.
+// RankView is the state of one rank as last reported to a leader.
 type RankView struct {
 	Incarnation uint64
 	Answered    bool
--- a/epmap/script_test.go
+++ b/epmap/script_test.go
@@ -70,7 +70,7 @@
 	s.w.send(leader)
 }
 
-// step lets every rank that is able to do so take step 1.
+// step starts step 1 on every rank that has not started it and is not held by a cap.
 func (s *script) step() {
 	for r := range s.w.engines {
 		if s.w.engines[r].step > 1 {
--- a/ledger/ledger.go
+++ b/ledger/ledger.go
@@ -41,7 +41,7 @@
 	return l.incarnation
 }
 
-// Offer records a dispatch and returns what the agent must do with it.
+// Offer records a dispatch and returns the verdict on it.
 func (l *Ledger) Offer(o Offer) Verdict {
 	if o.Incarnation != l.incarnation {
 		return refusal(core.ReasonOtherIncarnation)
--- a/ledger/state.go
+++ b/ledger/state.go
@@ -1,6 +1,6 @@
 package ledger
 
-// State is the state of an attempt; it only moves forward.
+// State is the state of an attempt; its value never decreases.
 type State uint8
 
 // States of an attempt.
--- a/ledger/verdict.go
+++ b/ledger/verdict.go
@@ -12,7 +12,7 @@
 	Reason  core.Reason
 }
 
-// Action is what the agent must do with an offered dispatch.
+// Action is the agent's required handling of an offered dispatch.
 type Action uint8
 
 // Actions of a verdict.
--- a/oper/class.go
+++ b/oper/class.go
@@ -88,8 +88,8 @@
 	for _, cl := range doc.Classes {
 		rows = append(rows, []string{
 			cl.Name,
-			orAny(cl.Match.Services),
-			orAny(cl.Match.Accounts),
+			joinOrAny(cl.Match.Services),
+			joinOrAny(cl.Match.Accounts),
 			cl.Match.Label,
 			string(cl.Target.Measure),
 			cl.Target.Within.String(),
@@ -99,7 +99,7 @@
 	return c.printTable(doc.Classes, []string{"CLASS", "SERVICES", "ACCOUNTS", "LABEL", "MEASURE", "WITHIN", "PERCENT"}, rows)
 }
 
-func orAny(list []string) string {
+func joinOrAny(list []string) string {
 	if len(list) == 0 {
 		return "any"
 	}
--- a/oper/command.go
+++ b/oper/command.go
@@ -46,7 +46,7 @@
 	c.registerGroups(app)
 	c.registerDocument(app)
 	c.registerUpstreams(app)
-	c.registerEnds(app)
+	c.registerTerminations(app)
 }
 
 // apply previews a change, submits it unless this is a dry run, and prints the conflicting changes
--- a/oper/ends.go
+++ b/oper/ends.go
@@ -28,13 +28,13 @@
 	return "no instance termination counts against request " + e.Digest.String()
 }
 
-func (c *Command) registerEnds(app *kingpin.Application) {
+func (c *Command) registerTerminations(app *kingpin.Application) {
 	ends := app.Command("ends", "Requests during which instances of the platform terminated.")
 	address := ends.Flag("store", "Address of the platform's store.").Envar("GERANIUMPASS_STORE").Required().String()
 	ends.Command("list", "List the terminations and whether each counts against its request.").Action(func(*kingpin.ParseContext) error {
-		return c.listEnds(platform.NewStore(*address))
+		return c.listTerminations(platform.NewStore(*address))
 	})
-	release := ends.Command("release", "Allow entries to send a refused request again.")
+	release := ends.Command("release", "Clear a refused request of its terminations, so that entries forward it again.")
 	var d crash.Digest
 	release.Arg("digest", "Digest of the request, from the list command or a log.").Required().SetValue(&digestValue{target: &d})
 	release.Action(func(*kingpin.ParseContext) error {
@@ -57,28 +57,28 @@
 	return v.target.String()
 }
 
-func (c *Command) listEnds(st *platform.Store) error {
+func (c *Command) listTerminations(st *platform.Store) error {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	known, err := st.Terminations(ctx)
+	byReporter, err := st.Terminations(ctx)
 	if err != nil {
 		return err
 	}
 	var rows [][]string
-	for by, ends := range known {
-		for _, e := range ends {
+	for reporter, terminations := range byReporter {
+		for _, e := range terminations {
 			rows = append(rows, []string{
 				e.Digest.String(),
 				e.Account,
 				e.Instance,
 				time.UnixMilli(e.Time).UTC().Format(time.RFC3339),
 				strconv.FormatBool(!e.Cleared),
-				by,
+				reporter,
 			})
 		}
 	}
 	sort.Slice(rows, func(i, j int) bool { return fmt.Sprint(rows[i]) < fmt.Sprint(rows[j]) })
-	return c.printTable(known, []string{"REQUEST", "ACCOUNT", "INSTANCE", "ENDED", "COUNTS", "STATED BY"}, rows)
+	return c.printTable(byReporter, []string{"REQUEST", "ACCOUNT", "INSTANCE", "ENDED", "COUNTS", "STATED BY"}, rows)
 }
 
 // clearRequest records, under the operator's name, that the known terminations attributed to a
@@ -86,24 +86,24 @@
 func (c *Command) clearRequest(st *platform.Store, d crash.Digest) error {
 	ctx, cancel := context.WithTimeout(context.Background(), storeTimeout)
 	defer cancel()
-	known, err := st.Terminations(ctx)
+	byReporter, err := st.Terminations(ctx)
 	if err != nil {
 		return err
 	}
 	name := "operator-" + c.Who
-	statements := clearTerminations(known, d)
-	if len(statements) == 0 {
+	cleared := clearTerminations(byReporter, d)
+	if len(cleared) == 0 {
 		return &UnknownDigestError{Digest: d}
 	}
 	if c.DryRun {
-		fmt.Fprintf(c.Out, "would clear request %s of %d ends\n", d, len(statements))
+		fmt.Fprintf(c.Out, "would clear request %s of %d terminations\n", d, len(cleared))
 		return nil
 	}
 	own, err := st.Get(ctx, platform.TerminationsKey(name))
 	if err != nil {
 		return err
 	}
-	data, err := json.Marshal(append(known[name], statements...))
+	data, err := json.Marshal(append(byReporter[name], cleared...))
 	if err != nil {
 		return errs.Wrap(err)
 	}
@@ -114,16 +114,16 @@
 	if _, err := st.Swap(ctx, platform.TerminationsKey(name), data, own.Modified, lease); err != nil {
 		return err
 	}
-	fmt.Fprintf(c.Out, "request %s cleared of %d ends\n", d, len(statements))
+	fmt.Fprintf(c.Out, "request %s cleared of %d terminations\n", d, len(cleared))
 	return nil
 }
 
 // clearTerminations returns cleared copies of the terminations that count against a request.
-func clearTerminations(known map[string][]crash.Termination, d crash.Digest) []crash.Termination {
+func clearTerminations(byReporter map[string][]crash.Termination, d crash.Digest) []crash.Termination {
 	seen := make(map[crash.TerminationKey]bool)
 	var counted []crash.Termination
-	for _, ends := range known {
-		for _, e := range ends {
+	for _, terminations := range byReporter {
+		for _, e := range terminations {
 			switch {
 			case e.Digest != d:
 			case e.Cleared:
--- a/oper/ends_test.go
+++ b/oper/ends_test.go
@@ -54,10 +54,10 @@
 	if out, err := run(t, address, "list"); err != nil || strings.Count(out, fatal.String()) != 3 || !strings.Contains(out, "front-1") {
 		t.Errorf("list: %v, %s", err, out)
 	}
-	if out, err := run(t, address, "release", fatal.String(), "--who", "ann", "--dry-run"); err != nil || !strings.Contains(out, "3 ends") {
+	if out, err := run(t, address, "release", fatal.String(), "--who", "ann", "--dry-run"); err != nil || !strings.Contains(out, "3 terminations") {
 		t.Errorf("dry run: %v, %s", err, out)
 	}
-	if out, err := run(t, address, "release", fatal.String(), "--who", "ann"); err != nil || !strings.Contains(out, "3 ends") {
+	if out, err := run(t, address, "release", fatal.String(), "--who", "ann"); err != nil || !strings.Contains(out, "3 terminations") {
 		t.Errorf("release: %v, %s", err, out)
 	}
 	later := crash.New(clock, log)
@@ -90,7 +90,7 @@
 	}
 	app.Flag("who", "").StringVar(&c.Who)
 	app.Flag("dry-run", "").BoolVar(&c.DryRun)
-	c.registerEnds(app)
+	c.registerTerminations(app)
 	_, err := app.Parse(append([]string{"ends", "--store", address}, args...))
 	return out.String(), err
 }
--- a/oper/upstream.go
+++ b/oper/upstream.go
@@ -12,8 +12,8 @@
 )
 
 func (c *Command) registerUpstreams(app *kingpin.Application) {
-	c.registerNamed(app.Command("drain", "Drain an upstream instance; it finishes its requests in flight."), config.OpDrain, "instance", "Identity of the instance.")
-	c.registerNamed(app.Command("undrain", "Return an instance to service once its agent has been restarted."), config.OpUndrain, "instance", "Identity of the instance.")
+	c.registerNamed(app.Command("drain", "Drain an upstream instance; it finishes its requests in flight."), config.OpDrain, "instance", "ID of the instance.")
+	c.registerNamed(app.Command("undrain", "Return an instance to service once its agent has been restarted."), config.OpUndrain, "instance", "ID of the instance.")
 	app.Command("status", "Show upstreams, groups, targets and revisions as one entry sees them.").Action(func(*kingpin.ParseContext) error {
 		return c.printStatus()
 	})
--- a/proto/control.go
+++ b/proto/control.go
@@ -33,8 +33,8 @@
 	Floor    uint64 `cbor:"1,keyasint"`
 	Revision uint64 `cbor:"2,keyasint,omitempty"`
 	Leaving  bool   `cbor:"3,keyasint,omitempty"`
-	// LeavingAck acknowledges that the agent leaves: no dispatch sent before the entry knew of it
-	// is still in flight on this link.
+	// LeavingAck acknowledges the agent's report that it leaves: no dispatch sent before the entry
+	// received that report is still in flight on this link.
 	LeavingAck bool `cbor:"5,keyasint,omitempty"`
 	// WantRank requests the constant fields of the report: Group, Rank and Ranks.
 	WantRank bool `cbor:"4,keyasint,omitempty"`
@@ -47,8 +47,8 @@
 	RequestedBy string `cbor:"1,keyasint"`
 }
 
-// Config carries records of the configuration, or the whole document when the receiver is too far
-// behind.
+// Config carries records of the configuration, or the complete document when the receiver is too
+// far behind.
 type Config struct {
 	Revision uint64 `cbor:"1,keyasint"`
 	Document []byte `cbor:"2,keyasint,omitempty"`
--- a/proto/group.go
+++ b/proto/group.go
@@ -30,7 +30,7 @@
 	ExpertLists        [][]int `cbor:"21,keyasint,omitempty"`
 	ExpertListsVersion int64   `cbor:"22,keyasint,omitempty"`
 	// NeedsFullMap answers an order whose map cannot be reconstructed here. The leader must send
-	// the whole map.
+	// the complete map.
 	NeedsFullMap bool `cbor:"24,keyasint,omitempty"`
 	// EngineStart is the start time of the rank's engine, in Unix milliseconds.
 	EngineStart int64 `cbor:"25,keyasint,omitempty"`
--- a/proto/news.go
+++ b/proto/news.go
@@ -6,7 +6,7 @@
 	"geraniumpass/quota"
 )
 
-// UpdateRequest asks a peer for state newer than revision Rev and table version Table. The peer
+// UpdateRequest requests state newer than revision Rev and table version Table from a peer. The peer
 // waits up to WaitMs milliseconds for a change.
 type UpdateRequest struct {
 	Rev    int64 `cbor:"1,keyasint"`
@@ -43,8 +43,8 @@
 	// number of the last one.
 	Limits     []quota.Notice `cbor:"10,keyasint,omitempty"`
 	LimitsUpTo int64          `cbor:"11,keyasint,omitempty"`
-	// Leaving lists the instance starts known to be leaving after those requested; LeavingUpTo is
-	// the peer's number of the last one.
+	// Leaving lists the incarnations of leaving instances after those requested; LeavingUpTo is the
+	// peer's number of the last one.
 	Leaving     []core.Start `cbor:"12,keyasint,omitempty"`
 	LeavingUpTo int64        `cbor:"13,keyasint,omitempty"`
 }
--- a/setup/gateway.go
+++ b/setup/gateway.go
@@ -16,8 +16,8 @@
 	Seeds   []string `json:"seeds" validate:"dive,hostport_ip"`
 	LinkKey string   `json:"link_key" validate:"required,min=16"`
 	// Grace is the time between SIGTERM and the platform killing the process.
-	Grace  Duration `json:"grace"`
-	Repeat Repeat   `json:"repeat"`
-	Limits Limits   `json:"limits"`
-	Log    Log      `json:"log"`
+	Grace       Duration    `json:"grace"`
+	RetryBudget RetryBudget `json:"repeat"`
+	Limits      Limits      `json:"limits"`
+	Log         Log         `json:"log"`
 }
--- a/setup/load.go
+++ b/setup/load.go
@@ -52,8 +52,8 @@
 	return Parse(file, b, settings)
 }
 
-// Parse is like Load for text that is already in memory. The name stands for the file name in the
-// error.
+// Parse is like Load for text that is already in memory. The name is reported as the file name in
+// the error.
 func Parse(name string, text []byte, settings any) error {
 	report := &ValidationError{File: name}
 	plain, err := hujson.Standardize(text)
--- a/setup/walk.go
+++ b/setup/walk.go
@@ -11,9 +11,9 @@
 	"github.com/samber/lo"
 )
 
-// walk compares decoded JSON with the type that it is decoded into. It reports
-// all unknown fields and type mismatches, whereas json.Unmarshal ignores the former and returns
-// only the first of the latter.
+// walk compares decoded JSON with the type that it is decoded into. It reports all unknown fields
+// and type mismatches, whereas json.Unmarshal ignores the former and returns only the first of the
+// latter.
 func walk(path string, got any, want reflect.Type) []*ValueError {
 	if reflect.PointerTo(want).Implements(reflect.TypeFor[json.Unmarshaler]()) {
 		return walkUnmarshaler(path, got, want)
--- a/start/gateway.go
+++ b/start/gateway.go
@@ -66,7 +66,7 @@
 	return newGateway(i).run()
 }
 
-// newProcess provides what every role of the platform needs (clock, log, memory limit). The
+// newProcess sets the memory limit and provides the clock and the log of a platform role. The
 // returned function closes the log.
 func newProcess(l setup.Log, limits setup.Limits) (do.Injector, func()) {
 	check.ConfigureFromEnvironment()
@@ -128,9 +128,9 @@
 			Name:   cfg.ID,
 			Domain: cfg.Domain,
 			Allowance: retry.Allowance{
-				Ratio:  cfg.Repeat.Ratio,
-				Slack:  cfg.Repeat.Slack,
-				Window: cfg.Repeat.Window.Duration,
+				Ratio:  cfg.RetryBudget.Ratio,
+				Slack:  cfg.RetryBudget.Slack,
+				Window: cfg.RetryBudget.Window.Duration,
 			},
 			Started: clock.Now(),
 			Key:     []byte(cfg.LinkKey),
--- a/start/role.go
+++ b/start/role.go
@@ -76,7 +76,7 @@
 	return provide(cfg, hclog.DefaultOutput)
 }
 
-// provide registers what every role needs: a clock and a log that writes to out.
+// provide registers the dependencies of every role: a clock and a log that writes to out.
 func provide(cfg setup.Log, out io.Writer) do.Injector {
 	i := do.New()
 	do.ProvideValue[clockwork.Clock](i, clockwork.NewRealClock())
