--- a/caller/caller.go
+++ b/caller/caller.go
@@ -37,11 +37,12 @@
 	Verdict Verdict
 	Status  int
 	Detail  string
-	First   time.Duration
-	Took    time.Duration
-	After   string
-	Echo    stand.Echo
-	Problem entry.Problem
+	// First is the time to the first token, Took the total time.
+	First      time.Duration
+	Took       time.Duration
+	RetryAfter string
+	Echo       stand.Echo
+	Problem    entry.Problem
 }
 
 // Caller sends requests to one entry with the API key of one account.
@@ -58,7 +59,7 @@
 	bufferedClient = &fasthttp.Client{
 		MaxConnsPerHost: 4096,
 		RetryIfErr:      func(*fasthttp.Request, int, error) (bool, bool) { return false, false },
-		// The limit keeps a connection from being reused while the entry is about to close it.
+		// The limit avoids reusing a connection that the entry is about to close.
 		MaxIdleConnDuration: 500 * time.Millisecond,
 	}
 	streamingClient = &fasthttp.Client{
@@ -194,10 +195,10 @@
 
 func problemResult(resp *fasthttp.Response, started time.Time) Result {
 	r := Result{
-		Verdict: Wrong,
-		Status:  resp.StatusCode(),
-		Took:    time.Since(started),
-		After:   string(resp.Header.Peek("Retry-After")),
+		Verdict:    Wrong,
+		Status:     resp.StatusCode(),
+		Took:       time.Since(started),
+		RetryAfter: string(resp.Header.Peek("Retry-After")),
 	}
 	if err := json.Unmarshal(resp.Body(), &r.Problem); err != nil {
 		r.Detail = fmt.Sprintf("status %d without a problem document: %s", resp.StatusCode(), resp.Body())
--- a/cmd/capacity/control.go
+++ b/cmd/capacity/control.go
@@ -55,7 +55,7 @@
 	sizes := []int{64, 96, 128, 192, 256}
 	var usages []usage
 	for _, n := range sizes {
-		s := r.site(1, n, rankCount, fastPace, oper.File{
+		s := r.site(1, n, expertCount, fastPace, oper.File{
 			Groups: []config.Group{{
 				Name:         groupName,
 				Skew:         0.1,
--- a/cmd/capacity/placement.go
+++ b/cmd/capacity/placement.go
@@ -11,11 +11,11 @@
 func (r *runner) placement() []series {
 	improve := series{name: "improving a placement, 128 experts", unit: "ms", variable: "ranks"}
 	for _, n := range []int{64, 96, 128, 192, 256} {
-		load := make([]float64, rankCount)
+		load := make([]float64, expertCount)
 		for e := range load {
 			load[e] = 1000 / math.Pow(float64(e+1), 0.8)
 		}
-		p := place.Even(rankCount, n, slotsPerRank)
+		p := place.Even(expertCount, n, slotsPerRank)
 		runtime.GC()
 		const rounds = 20
 		started := time.Now()
--- a/cmd/capacity/probe.go
+++ b/cmd/capacity/probe.go
@@ -14,10 +14,10 @@
 	"geraniumpass/deploy"
 )
 
-// clockTick is the kernel's unit of processor time in /proc.
+// clockTick is the unit of processor time in /proc/PID/stat, a hundredth of a second on Linux.
 const clockTick = 10 * time.Millisecond
 
-// reading is the cumulative resource usage of a process.
+// reading holds the cumulative counters of a process and its resident memory in MiB.
 type reading struct {
 	at       time.Time
 	cpu      time.Duration
@@ -29,7 +29,8 @@
 	mallocs  float64
 }
 
-// usage is the resource usage of a process per second, between two readings.
+// usage is the resource usage of a process between two readings, as rates per second except for
+// resident.
 type usage struct {
 	// cpu is in percent of one core, resident in MiB, bytes the link bytes per second in both
 	// directions.
@@ -82,7 +83,7 @@
 	return n
 }
 
-// measure reads the counters of a process twice, interval apart, and returns the usage per second.
+// measure reads the counters of a process twice, interval apart, and returns the usage between.
 func measure(p *deploy.Process, interval time.Duration) (usage, error) {
 	a, err := readProcess(p)
 	if err != nil {
--- a/cmd/capacity/roles.go
+++ b/cmd/capacity/roles.go
@@ -12,7 +12,7 @@
 	tokensPerRequest = 20
 	fastPace         = time.Millisecond
 	slowPace         = 20 * time.Millisecond
-	rankCount        = 128
+	expertCount      = 128
 )
 
 // usageSeries returns the standard series from the usage at each size.
--- a/cmd/demo/show.go
+++ b/cmd/demo/show.go
@@ -186,13 +186,13 @@
 		ok = s.printRow(w, class) && ok
 	}
 	_ = w.Flush()
-	doubled := s.countViolations()
-	fmt.Printf("\noperations run more than once, run although refused as not run, or answered without a run: %d\n", doubled)
+	violations := s.countViolations()
+	fmt.Printf("\noperations run more than once, run although refused as not run, or answered without a run: %d\n", violations)
 	for name, g := range s.d.Groups {
 		fmt.Printf("group %s: %d steps, %d of them on more than one expert map\n", name, g.Step(), g.Violations())
 		ok = ok && g.Violations() == 0
 	}
-	return ok && doubled == 0
+	return ok && violations == 0
 }
 
 func (s *demonstration) printRow(w *tabwriter.Writer, class string) bool {
--- a/cmd/policy/groups.go
+++ b/cmd/policy/groups.go
@@ -29,14 +29,14 @@
 	for i, s := range trial.GroupScenarios() {
 		var curves []any
 		for _, admission := range []bool{false, true} {
-			curves = append(curves, lineLabel(admission), writeGroupRows(w, s, admission))
+			curves = append(curves, admissionLabel(admission), writeGroupRows(w, s, admission))
 		}
 		must(drawGroup(filepath.Join(out, fmt.Sprintf("groups_%d.png", i)), s.Name, curves))
 	}
 	must(w.Flush())
 }
 
-func lineLabel(admission bool) string {
+func admissionLabel(admission bool) string {
 	if admission {
 		return "with a line"
 	}
@@ -58,7 +58,7 @@
 			late += b / groupSeeds
 			refused += c / groupSeeds
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%.2f\t%.2f\n", s.Name, lineLabel(admission), from, onTime, late, refused)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.2f\t%.2f\t%.2f\n", s.Name, admissionLabel(admission), from, onTime, late, refused)
 		curve = append(curve, plotter.XY{
 			X: from.Seconds(),
 			Y: onTime,
--- a/cmd/policy/main.go
+++ b/cmd/policy/main.go
@@ -42,8 +42,9 @@
 	}
 }
 
-// writeTargets runs every scenario under every policy. Only Product and TwoChoices are run with
-// every lag, because they depend on the lag of the reports.
+// writeTargets runs every scenario under every policy. The lag affects only policies that read load
+// reports: Product and TwoChoices are run with every lag, the others, including NoAdmission, only
+// with lags[1].
 func writeTargets(f *os.File) {
 	w := tabwriter.NewWriter(f, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "SCENARIO\tLAG\tPOLICY\tUSEFUL\tCLASS\tSENT\tON TIME\tP95\tP99\tREFUSALS\tUNFAIR\tRECOVERY")
--- a/deploy/deployment.go
+++ b/deploy/deployment.go
@@ -17,7 +17,8 @@
 	expertLoadsPerSecond = 400
 )
 
-// Deployment is a running deployment with access to every component that a test may fault.
+// Deployment is a running deployment with access to every component into which a test may inject
+// faults.
 type Deployment struct {
 	Plan         *Plan
 	Dir          string
--- a/deploy/port.go
+++ b/deploy/port.go
@@ -27,7 +27,7 @@
 	for {
 		port := nextPort.Add(1)
 		if port >= lastPort {
-			return "", &TimeoutError{What: "a free port"}
+			return "", &TimeoutError{Condition: "a free port"}
 		}
 		address := fmt.Sprintf("127.0.0.1:%d", port)
 		ln, err := net.Listen("tcp", address)
--- a/deploy/ready.go
+++ b/deploy/ready.go
@@ -14,22 +14,23 @@
 	"geraniumpass/stand"
 )
 
-// TimeoutError reports that a condition was not met in time.
+// TimeoutError reports that Condition was not met in time.
 type TimeoutError struct {
-	What string
+	Condition string
 }
 
 // Error states the condition.
 func (e *TimeoutError) Error() string {
-	return "timed out waiting for " + e.What
+	return "timed out waiting for " + e.Condition
 }
 
-// Until polls condition until it is true and fails with a *TimeoutError after limit.
-func Until(what string, limit time.Duration, condition func() bool) error {
+// Until polls condition until it is true and fails with a *TimeoutError that carries description
+// after limit.
+func Until(description string, limit time.Duration, condition func() bool) error {
 	end := time.Now().Add(limit)
 	for !condition() {
 		if time.Now().After(end) {
-			return &TimeoutError{What: what}
+			return &TimeoutError{Condition: description}
 		}
 		time.Sleep(pollInterval)
 	}
--- a/proof/doc.go
+++ b/proof/doc.go
@@ -1,3 +1,3 @@
-// Package proof tests the system's invariants by injecting faults into a whole deployment of real
-// processes.
+// Package proof tests the system's invariants by injecting faults into a complete deployment of
+// real processes.
 package proof
--- a/proof/map_test.go
+++ b/proof/map_test.go
@@ -166,9 +166,9 @@
 		}},
 		{name: "orders and replies held in one direction", fence: true, injectFault: func(t *testing.T, d *deploy.Deployment, g *stand.Group) {
 			domain := leaderOf(d).Domain
-			for _, brk := range []stand.RelayFault{{HoldForward: true}, {HoldBack: true}, {Delay: 20 * time.Millisecond}} {
+			for _, fault := range []stand.RelayFault{{HoldForward: true}, {HoldBack: true}, {Delay: 20 * time.Millisecond}} {
 				waitForMidSwitch(t, g)
-				d.AgentRelays[domain][model+"-02"].Set(brk)
+				d.AgentRelays[domain][model+"-02"].Set(fault)
 				step := g.Step()
 				eventually(t, "the group to step or stall", func() bool { return g.Step() > step || g.Stalled() > 0 })
 				d.AgentRelays[domain][model+"-02"].Set(stand.RelayFault{})
--- a/proof/once_test.go
+++ b/proof/once_test.go
@@ -176,7 +176,7 @@
 		t.Fatalf("got %+v", s.result)
 	}
 	d.KeyValue.SetFault(stand.Fault{Down: true})
-	if s := postBooking(d, 1, "", "known", "known key"); s.result.Verdict != caller.Unknown || s.result.After == "" {
+	if s := postBooking(d, 1, "", "known", "known key"); s.result.Verdict != caller.Unknown || s.result.RetryAfter == "" {
 		t.Errorf("repeated request during the outage got %+v, want unknown with Retry-After", s.result)
 	}
 	if s := postBooking(d, 1, "", "unkeyed", ""); s.result.Verdict != caller.Whole {
@@ -197,9 +197,9 @@
 	}
 }
 
-// TestThawedAgentLedgerIsAccurate queues calls with a short timeout at a frozen agent, so that their
-// callers may give up, then thaws the agent. No call may run twice, nor run after it was reported as
-// not run.
+// TestThawedAgentLedgerIsAccurate queues calls with a short timeout at a frozen agent, so that
+// their callers may time out, then thaws the agent. No call may run twice, nor run after it was
+// reported as not run.
 func TestThawedAgentLedgerIsAccurate(t *testing.T) {
 	d := launch(t, smallPlan(), deploy.Options{})
 	a := d.Agents[plain+"-00"]
--- a/stand/group.go
+++ b/stand/group.go
@@ -37,7 +37,7 @@
 	return g.step
 }
 
-// Stalled returns the total time the group has waited for ranks that held a step back.
+// Stalled returns the total time the group has waited for ranks that were held back.
 func (g *Group) Stalled() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/stand/rank.go
+++ b/stand/rank.go
@@ -110,7 +110,7 @@
 	return false
 }
 
-// missing counts the experts of a map that the rank's current map does not place on it.
+// missing counts the experts that a map places on the rank and its current map does not.
 func (r *Rank) missing(next []byte) int {
 	return placementDiff(r.maps[r.state.Version], next, r.index)
 }
--- a/stand/relay.go
+++ b/stand/relay.go
@@ -55,12 +55,12 @@
 }
 
 // Set sets the fault to inject; the zero RelayFault removes it.
-func (r *Relay) Set(b RelayFault) {
+func (r *Relay) Set(f RelayFault) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.fault = b
+	r.fault = f
 	r.cond.Broadcast()
-	if b.Cut {
+	if f.Cut {
 		r.closeConns()
 	}
 }
@@ -134,8 +134,8 @@
 	}
 }
 
-// awaitRelease blocks while the direction is held. It returns the delay and whether the connection
-// is still to be forwarded.
+// awaitRelease blocks while the direction is held. It returns the delay to apply and reports
+// whether the connection is neither cut nor closed.
 func (r *Relay) awaitRelease(held func(RelayFault) bool) (time.Duration, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/trial/group.go
+++ b/trial/group.go
@@ -21,8 +21,8 @@
 	groupWindow   = 2 * time.Second
 	pollInterval  = 30 * time.Millisecond
 	probeInterval = 90 * time.Millisecond
-	// knownLoadShare is the part of the other entries' load that an entry knows: it learns the load
-	// from answers, and half of it expires within a second.
+	// knownLoadShare is the share of the other entries' load that an entry sees: answers report the
+	// load, and half of the reported load expires within a second.
 	knownLoadShare = 0.7
 )
 
@@ -50,18 +50,18 @@
 // Shares returns the outcomes of the windows that begin within a span, as shares of the callers
 // that arrived in them.
 func (r *GroupResult) Shares(s Span) (onTime, late, refused float64) {
-	asked := 0
+	arrived := 0
 	var n [3]int
 	for w := range r.Arrived {
 		if at := time.Duration(w) * groupWindow; at < s.From || at >= s.To {
 			continue
 		}
-		asked += r.Arrived[w]
+		arrived += r.Arrived[w]
 		n[0] += r.OnTime[w]
 		n[1] += r.Late[w]
 		n[2] += r.Refused[w]
 	}
-	return ratio(n[0], asked), ratio(n[1], asked), ratio(n[2], asked)
+	return ratio(n[0], arrived), ratio(n[1], arrived), ratio(n[2], arrived)
 }
 
 // groupWorld is the state of one trial with several entries in front of one group.
@@ -106,8 +106,8 @@
 }
 
 func (w *groupWorld) poll() {
-	for _, l := range w.controllers {
-		l.Poll(w.time())
+	for _, c := range w.controllers {
+		c.Poll(w.time())
 	}
 	w.processDecided()
 	w.after(pollInterval, w.poll)
--- a/trial/group_test.go
+++ b/trial/group_test.go
@@ -6,8 +6,9 @@
 )
 
 // TestAdmissionBeforeGroup guards the benefit of admission control in surges, outages and stalls.
-// The bounds leave half of the gain as a margin: with admission control 0.13 to 0.26 of the callers
-// in a surge are on time, none without; two seconds after the surge it is 0.86 against 0.08.
+// The shares are averages over ten seeds, and the bounds leave half of the simulated gain as a
+// margin: with admission control 0.13 to 0.26 of the callers in a surge are on time, none without;
+// two seconds after the surge it is 0.86 against 0.08.
 func TestAdmissionBeforeGroup(t *testing.T) {
 	const seeds = 10
 	seconds := func(from, to int) Span {
--- a/trial/maps.go
+++ b/trial/maps.go
@@ -36,9 +36,9 @@
 type MapResult struct {
 	Scenario string
 	Policy   string
-	// SkewP50 and SkewP95 are quantiles over the steps of the slowest rank's load relative to the
-	// mean, which is the load under the best fractional placement. SpreadP95 is a quantile of the
-	// difference between the slowest and the fastest rank.
+	// SkewP50 and SkewP95 are quantiles over the steps of the slowest rank's load above the mean,
+	// which is the load under the best fractional placement. SpreadP95 is a quantile of the
+	// difference between the slowest and the fastest rank. All are shares of the mean.
 	SkewP50         float64
 	SkewP95         float64
 	SpreadP95       float64
--- a/trial/policy.go
+++ b/trial/policy.go
@@ -93,8 +93,8 @@
 	e.w.upstreams[to].enqueue(j)
 }
 
-// route dispatches a job according to the policy and reports whether an upstream was available for
-// it.
+// route dispatches a job according to the policy and reports whether an upstream was available.
+// Product also rejects a job here if its wait would miss the target.
 func (e *entry) route(j *job) bool {
 	w := e.w
 	switch w.policy {
--- a/trial/world.go
+++ b/trial/world.go
@@ -153,8 +153,8 @@
 	return t.windows[k]
 }
 
-// onRefused handles a job that an upstream rejected: it is routed again, or its caller is asked to
-// retry later once hops or retry budget are used up.
+// onRefused handles a job that an upstream rejected: it is routed again, or its caller has to retry
+// later if hops or retry budget are used up or the policy is Bound.
 func (w *world) onRefused(j *job, u *upstream, drain time.Duration) {
 	w.entries[j.entry].inFlightCost[u.id] -= j.cost
 	j.hops++
