--- a/Makefile
+++ b/Makefile
@@ -2,8 +2,9 @@
 LINT := .bin/golangci-lint
 LINT_VERSION := v2.15.0
 
-# RED holds the tests of KNOWN-RED.txt, which CI prints and passes over; the first field of each line names a test. Patterns of go test -skip are
-# not anchored by themselves: TestA would pass over TestAB as well.
+# RED is the go test -skip pattern for the tests in KNOWN-RED.txt, which CI prints and skips. The
+# first field of each line names a test. Each name is anchored, because -skip patterns are unanchored
+# by default: TestA would skip TestAB as well.
 RED := $(shell sed -n 's/ *|.*//p' KNOWN-RED.txt 2>/dev/null | sed 's,/,$$/^,g; s,^,^,; s,$$,$$,' | paste -sd '|' -)
 SKIP := $(if $(RED),-skip '$(RED)',)
 
@@ -21,8 +22,9 @@
 	$(LINT) fmt --diff
 	$(LINT) run ./...
 
-# The explorations run without the race detector: it has one goroutine for each set of bounds and needs the speed.
-# The tests with real processes build the program themselves, which Go's test cache can't see: -count=1 keeps it out.
+# The state explorations in epmap and shift run without the race detector: they use one goroutine for
+# each set of bounds and need the speed. The tests with real processes build the program themselves,
+# which Go's test cache does not track, so -count=1 disables the cache.
 test:
 	$(GO) test -race -count=1 -timeout 8m $(SKIP) $$($(GO) list ./... | grep -v -e /epmap -e /shift)
 	$(GO) test -timeout 5m ./epmap ./shift
@@ -37,12 +39,13 @@
 	GERANIUMPASS_EXPLORE=6000000 $(GO) test -v -timeout 60m -run TestExploreSwitch ./epmap
 	GERANIUMPASS_EXPLORE=6000000 $(GO) test -v -timeout 60m -run TestExploreNeverTwoMaps ./shift
 
-# LASTS says how long to go on; a failure prints its seed and the last events.
+# The environment variable LASTS sets the duration of a run. A failure prints its seed and the last
+# events.
 soak: build
 	bin/soak --binary bin/geraniumpass --platform
 	bin/soak --binary bin/geraniumpass
 
-# Tables and plots of the decisions go to out/policy.txt and out/maps_*.png.
+# Writes tables and plots of the decisions to out/policy.txt and out/maps_*.png.
 bench: build
 	bin/policy --out out
 	$(GO) test -run '^$$' -bench . -benchtime 3x ./place ./proof
